--- a/pace/doc.go
+++ b/pace/doc.go
@@ -1,18 +1,17 @@
 // SPDX-License-Identifier: MIT
 
-// Package pace keeps endpoints that limit themselves to the requests a second that they take
-// from all daemons together.
+// Package pace enforces the rate limits that endpoints announce, over all daemons together.
 //
-// One daemon, the owner of the limit, the same for all that know the same members, grants
-// each request that any of them sends to such an endpoint:
+// One daemon owns the limit of an endpoint; all daemons with the same member list choose the same
+// owner. It grants each request that any daemon wants to send there:
 //
 //	var l pace.Limiter
 //	g := l.Allow(now, endpoint, limit.PerSecond, asker)
 //	if !g.OK {
-//		// not sent there; worth asking again after g.Wait
+//		// don't send; ask again after g.Wait
 //	}
 //
-// A daemon that hears nobody who grants uses an even share, by a Limiter of its own. What an
-// endpoint names is a Limit, which daemons tell each other. The package does no input or
-// output, and is given the present time.
+// A daemon that cannot reach an owner uses an even share of the limit, with a Limiter of its own.
+// Daemons exchange the limits that endpoints announce as a Limit. The package does no input or
+// output; callers pass the current time.
 package pace
--- /dev/null
+++ b/pace/feedback.go
@@ -0,0 +1,48 @@
+// SPDX-License-Identifier: MIT
+
+package pace
+
+import (
+	"strconv"
+	"time"
+)
+
+// Said is what an endpoint's answer announces about the endpoint itself.
+type Said struct {
+	PerSecond float64       // requests a second that it accepts from all daemons together, if Limited
+	Limited   bool          // the answer announces a rate limit
+	Unclear   bool          // the announced limit is not a number
+	Leaves    bool          // it is shutting down
+	Rest      time.Duration // how long the daemon must not send it requests; 0 for not at all
+	Bad       []Bad         // announced values that are invalid
+}
+
+// Bad is an invalid value that an endpoint sent.
+type Bad struct{ What, Value string }
+
+// The kinds of invalid values.
+const (
+	BadLimit   = "limit"
+	BadLeaving = "word of leaving"
+	BadRest    = "time of rest"
+)
+
+// maxBackoff is the longest accepted time without requests: a single wrong figure could otherwise
+// take an endpoint out of use.
+const maxBackoff = 10 * time.Minute
+
+// Believed returns s without out-of-range values, which are added to Bad.
+func (s Said) Believed() Said {
+	if s.Limited {
+		named := s.PerSecond
+		if s.PerSecond, s.Limited = Believable(named); !s.Limited {
+			s.Unclear = true
+			s.Bad = append(s.Bad, Bad{BadLimit, strconv.FormatFloat(named, 'g', -1, 64)})
+		}
+	}
+	if s.Rest > maxBackoff {
+		s.Bad = append(s.Bad, Bad{BadRest, s.Rest.String()})
+		s.Rest = 0
+	}
+	return s
+}
--- a/pace/limit.go
+++ b/pace/limit.go
@@ -5,48 +5,48 @@
 import "math"
 
 const (
-	// leastPerSecond is what an endpoint gets that names less, 0 too: only its answers tell
-	// that it takes more again.
-	leastPerSecond = 0.1
-	// mostPerSecond is from when on a limit is none that a daemon could pass.
-	mostPerSecond = 1e5
-	// sameShare is by which part a limit may change until others are told.
-	sameShare = 0.1
+	// minRate replaces lower limits, 0 included: an endpoint can only announce a higher limit in an
+	// answer, so it must keep getting requests.
+	minRate = 0.1
+	// maxRate is the rate from which on a limit is ignored, since no daemon could exceed it.
+	maxRate = 1e5
+	// rateTolerance is the relative change of a limit that is not sent to other daemons.
+	rateTolerance = 0.1
 )
 
-// Limit is how many requests a second an endpoint takes from all daemons together, as far as one of
-// them knows. The zero value is an endpoint that names none.
+// Limit is the request rate that an endpoint accepts from all daemons together, as far as this
+// daemon knows. The zero value is an endpoint without a limit.
 type Limit struct {
 	PerSecond float64 `codec:"r,omitempty"` // 0 for none
-	Turn      uint64  `codec:"t,omitempty"` // counts the changes, whoever saw them
+	Turn      uint64  `codec:"t,omitempty"` // number of changes, over all daemons that saw one
 }
 
-// Named reports whether there is a limit.
+// Named reports whether the endpoint has a limit.
 func (l Limit) Named() bool { return l.PerSecond > 0 }
 
-// Believable returns the limit to keep to for the number that an endpoint has named, 0 for none;
-// ok is false for what is no limit.
+// Believable returns the rate to enforce for an announced one, or 0 for no limit; ok is false if the
+// announced value is not a valid rate.
 func Believable(perSecond float64) (float64, bool) {
 	switch {
 	case math.IsNaN(perSecond), math.IsInf(perSecond, 0), perSecond < 0:
 		return 0, false
-	case perSecond > mostPerSecond:
+	case perSecond > maxRate:
 		return 0, true
 	}
-	return max(perSecond, leastPerSecond), true
+	return max(perSecond, minRate), true
 }
 
-// Say returns the limit after an answer that names so many requests a second, 0 for none, and whether
-// others have to be told. An endpoint's own answer goes before what was heard of it.
+// Say returns the limit after an answer that announces a rate, 0 for none, and whether to send it to
+// other daemons. An endpoint's own answer takes precedence over what other daemons sent.
 func (l Limit) Say(perSecond float64) (next Limit, tell bool) {
-	if math.Abs(perSecond-l.PerSecond) <= sameShare*l.PerSecond && l.Named() == (perSecond > 0) {
+	if math.Abs(perSecond-l.PerSecond) <= rateTolerance*l.PerSecond && l.Named() == (perSecond > 0) {
 		return Limit{perSecond, l.Turn}, false
 	}
 	return Limit{perSecond, l.Turn + 1}, true
 }
 
-// Over reports whether a limit goes before another one of the same endpoint: the later one, and of
-// two that were seen at once the stricter.
+// Over reports whether l supersedes x, a limit of the same endpoint: the later change wins, and of
+// two concurrent ones the stricter.
 func (l Limit) Over(x Limit) bool {
 	if l.Turn != x.Turn {
 		return l.Turn > x.Turn
--- a/pace/limiter.go
+++ b/pace/limiter.go
@@ -9,66 +9,65 @@
 )
 
 const (
-	// burst is how many requests an endpoint gets at once that had fewer than it takes, and
-	// burstTime for which time of its limit besides: who may send next needs a moment to.
-	burst     = 2
-	burstTime = 250 * time.Millisecond
-	// longestWait bounds when a daemon is told to ask again, for then there may be fewer
-	// that ask, and waitEach is the least time for each that asks: so many questions a
-	// second cost whoever grants little.
-	longestWait = 3 * time.Second
-	waitEach    = 25 * time.Millisecond
-	// askerLife is for how long one that has asked is taken to ask again.
-	askerLife = 10 * time.Second
-	// bucketsMost and bucketIdle bound what is kept of endpoints that nobody asks for.
-	bucketsMost = 4096
-	bucketIdle  = time.Minute
+	// The bucket of an endpoint holds minBurst tokens plus those of burstWindow at its rate, since a
+	// daemon that was just told to ask again needs a moment to do so.
+	minBurst    = 2
+	burstWindow = 250 * time.Millisecond
+	// maxWait bounds the wait that a daemon is told, as fewer may be asking by then. waitPerAsker is
+	// the least wait per asking daemon beyond that bound, which limits the load on the owner.
+	maxWait      = 3 * time.Second
+	waitPerAsker = 25 * time.Millisecond
+	// askerTTL is how long after its last request a daemon counts as asking.
+	askerTTL = 10 * time.Second
+	// maxBuckets and bucketTTL bound the memory for endpoints that no daemon asks for.
+	maxBuckets = 4096
+	bucketTTL  = time.Minute
 )
 
-// Grant is the answer to whether a request may be sent to an endpoint now.
+// Grant is the decision whether a request may be sent to an endpoint now.
 type Grant struct {
 	OK   bool          `codec:"o,omitempty"`
-	Wait time.Duration `codec:"w,omitempty"` // until it is worth asking again
-	Gap  time.Duration `codec:"g,omitempty"` // between two grants for the asker, about
+	Wait time.Duration `codec:"w,omitempty"` // time until the daemon should ask again
+	Gap  time.Duration `codec:"g,omitempty"` // approximate time between two grants to the asker
 }
 
-// Limiter grants requests to endpoints that limit themselves. The zero value is ready; an endpoint that
-// it does not know yet gets nothing at first, as another may have granted a moment ago.
+// Limiter is a set of token buckets, one per rate-limited endpoint. The zero value is ready. The
+// bucket of a new endpoint starts empty, as another owner may have granted requests a moment ago.
 type Limiter struct {
 	mu      sync.Mutex
 	buckets map[uint64]*bucket
 }
 
-// bucket is what an endpoint may still get.
+// bucket is the token bucket of one endpoint.
 type bucket struct {
-	level  float64
-	at     time.Time
-	next   time.Time            // until when those that were refused have been given their turns
-	askers map[string]time.Time // when each asked last
+	tokens    float64
+	updated   time.Time
+	nextRetry time.Time            // end of the retry times already assigned
+	askers    map[string]time.Time // time of each daemon's last request
 }
 
-// Allow asks for one request to an endpoint that takes so many a second.
+// Allow takes a token for one request to an endpoint that accepts perSecond requests a second.
 func (l *Limiter) Allow(now time.Time, endpoint uint64, perSecond float64, asker string) Grant {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	b := l.bucket(now, endpoint)
 	b.askers[asker] = now
-	b.refill(now, perSecond, burst+perSecond*burstTime.Seconds())
-	each := perRequest(perSecond)
-	asking := time.Duration(b.asking(now))
-	g := Grant{Gap: asking * each}
-	if b.level >= 1 {
-		b.level--
+	b.refill(now, perSecond, minBurst+perSecond*burstWindow.Seconds())
+	each := requestInterval(perSecond)
+	askers := time.Duration(b.activeAskers(now))
+	g := Grant{Gap: askers * each}
+	if b.tokens >= 1 {
+		b.tokens--
 		g.OK = true
 		return g
 	}
-	g.Wait = b.reserve(now, time.Duration((1-b.level)*float64(each)), each, max(longestWait, asking*waitEach))
+	g.Wait = b.scheduleRetry(now, time.Duration((1-b.tokens)*float64(each)), each, max(maxWait, askers*waitPerAsker))
 	return g
 }
 
-// AllowShare is Allow for a daemon that hears nobody who grants: it uses an even share of the limit. It
-// begins somewhere within the time that gives it one request, by a draw below 1, so that many
-// that begin together send one after the other.
+// AllowShare is Allow for a daemon that cannot reach the owner: it uses an even share of the limit.
+// A new bucket starts with draw tokens, below 1, so that daemons that start together don't send at
+// the same moment.
 func (l *Limiter) AllowShare(now time.Time, endpoint uint64, perSecond, draw float64, sharers int) Grant {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -76,73 +75,73 @@
 	_, known := l.buckets[endpoint]
 	b := l.bucket(now, endpoint)
 	if !known {
-		b.level = draw
+		b.tokens = draw
 	}
-	each := perRequest(share)
+	each := requestInterval(share)
 	b.refillShare(now, share, each)
-	if b.level >= 1 {
-		b.level--
+	if b.tokens >= 1 {
+		b.tokens--
 		return Grant{OK: true, Gap: each}
 	}
-	return Grant{Wait: max(time.Duration((1-b.level)*float64(each)), time.Millisecond), Gap: each}
+	return Grant{Wait: max(time.Duration((1-b.tokens)*float64(each)), time.Millisecond), Gap: each}
 }
 
-// refill brings what an endpoint may still get up to now.
+// refill adds the tokens since the last update, up to most.
 func (b *bucket) refill(now time.Time, perSecond, most float64) {
-	if dt := now.Sub(b.at); dt > 0 {
-		b.level = min(b.level+perSecond*dt.Seconds(), most)
-		b.at = now
+	if dt := now.Sub(b.updated); dt > 0 {
+		b.tokens = min(b.tokens+perSecond*dt.Seconds(), most)
+		b.updated = now
 	}
 }
 
-// shareKept is for how long a daemon may use the request that its even share gives it. Saved up for longer,
-// all daemons would have one to send as they next use their shares.
-const shareKept = time.Second
+// maxShareAge is how long a daemon may keep the token of its even share. If tokens were kept longer,
+// all daemons could hold one and send at the same moment.
+const maxShareAge = time.Second
 
-// refillShare is refill for an even share: what was not used in its time is lost, and the next request comes
-// when it would have come.
+// refillShare is refill for an even share. A token that is not used in time expires, and the next
+// one comes at the time it would have come anyway.
 func (b *bucket) refillShare(now time.Time, share float64, each time.Duration) {
-	dt := now.Sub(b.at)
+	dt := now.Sub(b.updated)
 	if dt <= 0 {
 		return
 	}
-	level := b.level + share*dt.Seconds()
-	if (level-1)*float64(each) > float64(shareKept) {
+	level := b.tokens + share*dt.Seconds()
+	if (level-1)*float64(each) > float64(maxShareAge) {
 		level -= math.Floor(level)
 	}
-	b.level, b.at = min(level, 1), now
+	b.tokens, b.updated = min(level, 1), now
 }
 
-// perRequest is the time for one request.
-func perRequest(perSecond float64) time.Duration {
-	return time.Duration(float64(time.Second) / max(perSecond, leastPerSecond/bucketsMost))
+// requestInterval is the time between two requests at a rate.
+func requestInterval(perSecond float64) time.Duration {
+	return time.Duration(float64(time.Second) / max(perSecond, minRate/maxBuckets))
 }
 
-// reserve returns when one that is refused may ask again: each in turn, so that all who ask cost no
-// more questions than the endpoint takes requests.
-func (b *bucket) reserve(now time.Time, first, each, longest time.Duration) time.Duration {
-	if at := now.Add(first); b.next.Before(at) {
-		b.next = at
+// scheduleRetry returns how long a refused daemon waits before it asks again. Each gets a slot of
+// its own, so that daemons ask no more often than the endpoint accepts requests.
+func (b *bucket) scheduleRetry(now time.Time, first, each, longest time.Duration) time.Duration {
+	if at := now.Add(first); b.nextRetry.Before(at) {
+		b.nextRetry = at
 	}
-	wait := b.next.Sub(now)
-	if wait >= longestWait {
+	wait := b.nextRetry.Sub(now)
+	if wait >= maxWait {
 		return longest
 	}
-	b.next = b.next.Add(each)
+	b.nextRetry = b.nextRetry.Add(each)
 	return max(wait, time.Millisecond)
 }
 
-// asking returns how many have asked lately.
-func (b *bucket) asking(now time.Time) int {
+// activeAskers returns the number of daemons that asked within askerTTL.
+func (b *bucket) activeAskers(now time.Time) int {
 	for name, at := range b.askers {
-		if now.Sub(at) > askerLife {
+		if now.Sub(at) > askerTTL {
 			delete(b.askers, name)
 		}
 	}
 	return len(b.askers)
 }
 
-// bucket returns an endpoint's; the caller holds the lock.
+// bucket returns the bucket of an endpoint, and creates it if needed. The caller holds the lock.
 func (l *Limiter) bucket(now time.Time, endpoint uint64) *bucket {
 	if b := l.buckets[endpoint]; b != nil {
 		return b
@@ -150,18 +149,18 @@
 	if l.buckets == nil {
 		l.buckets = make(map[uint64]*bucket)
 	}
-	if len(l.buckets) >= bucketsMost {
-		l.forget(now)
+	if len(l.buckets) >= maxBuckets {
+		l.evictIdle(now)
 	}
-	b := &bucket{at: now, askers: make(map[string]time.Time)}
+	b := &bucket{updated: now, askers: make(map[string]time.Time)}
 	l.buckets[endpoint] = b
 	return b
 }
 
-// forget drops what nobody has asked for lately; the caller holds the lock.
-func (l *Limiter) forget(now time.Time) {
+// evictIdle deletes the buckets that were not used within bucketTTL. The caller holds the lock.
+func (l *Limiter) evictIdle(now time.Time) {
 	for k, b := range l.buckets {
-		if now.Sub(b.at) > bucketIdle {
+		if now.Sub(b.updated) > bucketTTL {
 			delete(l.buckets, k)
 		}
 	}
--- a/pace/limiter_test.go
+++ b/pace/limiter_test.go
@@ -21,17 +21,17 @@
 
 var start = time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// fleet plays daemons that ask a limiter for one endpoint as callers come to them.
+// fleet simulates daemons that ask one limiter for one endpoint as requests arrive.
 type fleet struct {
-	limiter pace.Limiter
-	shut    []time.Time
-	asks    int
-	granted []time.Time
+	limiter      pace.Limiter
+	blockedUntil []time.Time
+	calls        int
+	granted      []time.Time
 }
 
-// play has each daemon's callers come at a rate of its own, for a time.
-func (f *fleet) play(rates []float64, limit float64, span time.Duration) {
-	f.shut = make([]time.Time, len(rates))
+// run runs the simulation for span, with requests arriving at each daemon at its own rate.
+func (f *fleet) run(rates []float64, limit float64, span time.Duration) {
+	f.blockedUntil = make([]time.Time, len(rates))
 	due := make([]float64, len(rates))
 	for now := start; now.Before(start.Add(span)); now = now.Add(step) {
 		for i, rate := range rates {
@@ -40,21 +40,21 @@
 				continue
 			}
 			due[i] = math.Mod(due[i], 1)
-			if now.Before(f.shut[i]) {
+			if now.Before(f.blockedUntil[i]) {
 				continue
 			}
-			f.asks++
+			f.calls++
 			g := f.limiter.Allow(now, 7, limit, fmt.Sprint("daemon-", i))
 			if g.OK {
 				f.granted = append(f.granted, now)
 				continue
 			}
-			f.shut[i] = now.Add(g.Wait)
+			f.blockedUntil[i] = now.Add(g.Wait)
 		}
 	}
 }
 
-func most(at []time.Time) (n int) {
+func maxInWindow(at []time.Time) (n int) {
 	first := 0
 	for i, t := range at {
 		for t.Sub(at[first]) > window {
@@ -65,9 +65,9 @@
 	return n
 }
 
-// Load: 3 to 380 daemons with callers for many times what the endpoint takes, or all callers at one
-// of them. It gets its limit, and hardly more in any window.
-func TestALimiterGrantsTheLimitWhoeverAsks(t *testing.T) {
+// With 3 to 380 daemons and demand for several times the limit, at all daemons or at a single one,
+// the endpoint gets its limit and hardly more in any window.
+func TestLimiterGrantsTheLimitForAnyDemand(t *testing.T) {
 	for _, daemons := range []int{3, 9, 78, 380} {
 		for _, limit := range []float64{0.3, 1.2, 5, 40} {
 			for _, at := range []int{1, daemons} {
@@ -76,20 +76,21 @@
 					rates[i] = max(4*limit/float64(at), 3)
 				}
 				f := &fleet{}
-				f.play(rates, limit, time.Minute)
+				f.run(rates, limit, time.Minute)
 				name := fmt.Sprintf("%d daemons, %d with callers, %g a second", daemons, at, limit)
-				assert.LessOrEqual(t, float64(most(f.granted)), 1.5*limit*window.Seconds()+5, name)
+				assert.LessOrEqual(t, float64(maxInWindow(f.granted)), 1.5*limit*window.Seconds()+5, name)
 				assert.GreaterOrEqual(t, float64(len(f.granted)), 0.8*limit*60, name)
-				// Each daemon one in three seconds, of many 40 a second together, and those for what is granted.
+				// Each daemon may ask once in three seconds, many daemons at most 40 times a second
+				// in total, plus the granted requests.
 				perSecond := 3*limit + 1.3*min(float64(at)/3, 40)
-				assert.LessOrEqual(t, float64(f.asks), 60*perSecond+2*float64(at), "%s: questions", name)
+				assert.LessOrEqual(t, float64(f.calls), 60*perSecond+2*float64(at), "%s: Allow calls", name)
 			}
 		}
 	}
 }
 
-// With a limiter of their own each, daemons that all begin at once send no more than the limit.
-func TestSharesOfManyDaemonsKeepTheLimit(t *testing.T) {
+// Daemons that start at the same moment and each use an even share stay within the limit.
+func TestEvenSharesStayWithinTheLimit(t *testing.T) {
 	for _, daemons := range []int{3, 9, 78, 380} {
 		const limit = 2.0
 		limiters := make([]pace.Limiter, daemons)
@@ -101,12 +102,12 @@
 				}
 			}
 		}
-		assert.LessOrEqual(t, float64(most(granted)), 1.5*limit*window.Seconds()+5, "%d daemons", daemons)
+		assert.LessOrEqual(t, float64(maxInWindow(granted)), 1.5*limit*window.Seconds()+5, "%d daemons", daemons)
 		assert.GreaterOrEqual(t, float64(len(granted)), 0.7*limit*60, "%d daemons", daemons)
 	}
 }
 
-// Whatever is asked when, no window of time gets more than the limit and the burst.
+// For any sequence of requests, no time window gets more than the limit plus the burst.
 func TestNoWindowGetsMoreThanTheLimitAndTheBurst(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limit := rapid.Float64Range(0.1, 50).Draw(t, "limit")
@@ -131,7 +132,7 @@
 	})
 }
 
-func TestALimitIsTheLastThatWasSaid(t *testing.T) {
+func TestLastAnnouncedLimitWins(t *testing.T) {
 	var a, b pace.Limit
 	a, tell := a.Say(2)
 	assert.True(t, tell)
@@ -142,26 +143,26 @@
 	b, tell = b.Say(0)
 	assert.True(t, tell)
 	assert.False(t, b.Named())
-	assert.True(t, b.Over(a), "it says so no more")
+	assert.True(t, b.Over(a), "the limit was withdrawn")
 	c, _ := a.Say(5)
-	assert.True(t, c.Over(b), "of two at once the one with a limit")
+	assert.True(t, c.Over(b), "of two concurrent changes the one with a limit")
 	assert.False(t, b.Over(c))
 }
 
-func TestWhatIsNoLimitIsNotBelieved(t *testing.T) {
+func TestInvalidLimitIsRejected(t *testing.T) {
 	for _, bad := range []float64{-1, math.NaN(), math.Inf(1), math.Inf(-1)} {
 		_, ok := pace.Believable(bad)
 		assert.False(t, ok, "%g", bad)
 	}
 	least, ok := pace.Believable(0)
 	assert.True(t, ok)
-	assert.Positive(t, least, "its answers must tell that it takes more again")
+	assert.Positive(t, least, "it must get requests to announce a higher limit")
 	none, ok := pace.Believable(1e300)
 	assert.True(t, ok)
-	assert.Zero(t, none, "more than could be sent")
+	assert.Zero(t, none, "more than daemons could send")
 }
 
-func TestALimitHasOneOwner(t *testing.T) {
+func TestEndpointHasOneOwner(t *testing.T) {
 	names := []string{"a", "b", "c", "d"}
 	count := make(map[string]int)
 	for e := range uint64(4000) {
@@ -175,10 +176,9 @@
 	assert.Empty(t, pace.Owner(1, nil))
 }
 
-// What an endpoint gets: more than its limit as whoever grants is lost a second time. Each of many daemons
-// has used its share once, and since then has saved up a whole request, so that all send at once. Cause: a share
-// went on filling while it was not used. Evidence: each of 60 daemons sent one in the 4 s after the second loss.
-func TestSharesThatWereUsedBeforeKeepTheLimit(t *testing.T) {
+// Guards against daemons saving up tokens of an even share: when the owner is lost a second time,
+// each of 60 daemons held a whole token since its first use, and all sent within 4 s.
+func TestUnusedSharesExpire(t *testing.T) {
 	const limit, daemons = 2.0, 60
 	limiters := make([]pace.Limiter, daemons)
 	var granted []time.Time
@@ -191,5 +191,5 @@
 			}
 		}
 	}
-	assert.LessOrEqual(t, float64(most(granted)), 1.5*limit*window.Seconds()+5)
+	assert.LessOrEqual(t, float64(maxInWindow(granted)), 1.5*limit*window.Seconds()+5)
 }
