--- a/crash/bench_test.go
+++ b/crash/bench_test.go
@@ -9,7 +9,7 @@
 	"streambend.example/crash"
 )
 
-// BenchmarkPrint is what naming a request costs, with a body of 16 KB.
+// BenchmarkPrint measures the hash of a request with a body of 16 KB.
 func BenchmarkPrint(b *testing.B) {
 	body := make([]byte, 16<<10)
 	b.SetBytes(int64(len(body)))
@@ -18,12 +18,12 @@
 	}
 }
 
-// BenchmarkAnswered is what each whole answer costs the ledger.
+// BenchmarkAnswered measures the cost of one complete answer.
 func BenchmarkAnswered(b *testing.B) {
 	var l crash.Ledger
 	prints := make([]crash.Print, 1024)
 	for i := range prints {
-		prints[i] = named(i)
+		prints[i] = printOf(i)
 	}
 	i := 0
 	for b.Loop() {
@@ -32,14 +32,14 @@
 	}
 }
 
-// BenchmarkEnded is an end with 32 requests under way, none of them known.
+// BenchmarkEnded measures a crash with 32 requests in flight, none of them known.
 func BenchmarkEnded(b *testing.B) {
 	var l crash.Ledger
 	i := 0
 	for b.Loop() {
 		e := end(i)
 		for f := range 32 {
-			e.Flights = append(e.Flights, crash.Flight{Print: named(32*i + f), For: time.Second})
+			e.Flights = append(e.Flights, crash.Flight{Print: printOf(32*i + f), For: time.Second})
 		}
 		l.Ended(start.Add(time.Duration(i)*100*time.Millisecond), e)
 		i++
--- a/crash/doc.go
+++ b/crash/doc.go
@@ -1,17 +1,17 @@
 // SPDX-License-Identifier: MIT
 
-// Package crash decides which requests are held back because endpoints crash when
-// they begin to run them.
+// Package crash decides which requests are held back because endpoints crash when they begin to run
+// them.
 //
-// A Ledger takes in the ends of endpoints with the requests that were under way there,
-// and the requests that were answered:
+// A Ledger is given the crashes of endpoints, with the requests that were in flight there, and the
+// requests that were answered:
 //
 //	var l crash.Ledger
 //	fresh := l.Ended(now, crash.End{Endpoint: id, Flights: flights})
 //	if v, held := l.Held(now, print); held {
-//		// not sent, until v.Until
+//		// not sent before v.Until
 //	}
 //
-// What follows from that are verdicts, which daemons tell each other. The package does no
-// input or output, and is given the present time.
+// The results are verdicts, which daemons exchange. The package does no input or output; callers
+// pass the current time.
 package crash
--- a/crash/ledger.go
+++ b/crash/ledger.go
@@ -12,57 +12,57 @@
 )
 
 const (
-	// endsToHold is under how many ends of endpoints a request is held back. One end or two
-	// prove nothing: whatever runs beside the cause ends with it, and is sent again to where
-	// the cause comes next. Each further one costs all that runs beside it.
-	endsToHold = 3
-	// sameEnd is within which time ends of one endpoint are one: daemons hear of it at most
-	// half a second apart by their periods, and an endpoint is taken to need longer than this
-	// to start again.
-	sameEnd = time.Second
-	// suspectFor is how long an end is held against a request: callers come back after
-	// seconds, jobs after minutes.
-	suspectFor = 10 * time.Minute
-	// suspectsMost bounds the requests that are suspected, at some 200 bytes each (by
-	// the types' sizes, not measured). The oldest go first; 4,096 are what 128 ends at once leave with 32 requests each.
-	suspectsMost = 4096
-	// answeredFor is how long an answer speaks for a request: endpoints that end while it is
-	// under way have another cause. A request that many send is answered many times
-	// a second, so this need only be longer than an endpoint takes to end and start.
-	answeredFor = 15 * time.Second
-	// answeredMost bounds the answers that are remembered, at about 40 bytes each.
-	answeredMost = 4096
+	// crashThreshold is the number of endpoint crashes after which a request is held back. One or
+	// two prove nothing: the requests in flight beside the cause fail with it and are retried where
+	// the cause is retried next. Each further crash costs all requests in flight there.
+	crashThreshold = 3
+	// dedupWindow is the time within which reports of one endpoint's crash are one crash. Daemons
+	// detect it at most half a second apart, and an endpoint is assumed to need longer than this to
+	// restart.
+	dedupWindow = time.Second
+	// suspectTTL is how long a crash counts against a request: callers retry after seconds, jobs
+	// after minutes.
+	suspectTTL = 10 * time.Minute
+	// maxSuspects bounds the suspected requests, at about 200 bytes each. The oldest are evicted
+	// first; 4,096 are left by 128 crashes at once with 32 requests each.
+	maxSuspects = 4096
+	// answeredTTL is how long an answer exonerates a request: endpoints that crash while it is in
+	// flight have another cause. It need only be longer than an endpoint takes to crash and restart,
+	// since a request that many callers send is answered many times a second.
+	answeredTTL = 15 * time.Second
+	// maxAnswered bounds the answered requests that are remembered, at about 40 bytes each.
+	maxAnswered = 4096
 )
 
-// Flight is a request that was under way at an endpoint.
+// Flight is a request that was in flight at an endpoint.
 type Flight struct {
 	Print Print         `codec:"p"`
-	For   time.Duration `codec:"f"` // since it was sent there
+	For   time.Duration `codec:"f"` // time since it was sent there
 }
 
-// End is the end of an endpoint, and the requests that one daemon had under way there.
+// End is the crash of an endpoint, with the requests that one daemon had in flight there.
 type End struct {
 	Endpoint string   `codec:"e"`
 	Flights  []Flight `codec:"f"`
 }
 
-// ending is the end of an endpoint as the ledger keeps it.
-type ending struct {
+// crashRecord is the ledger's record of an endpoint's crash.
+type crashRecord struct {
 	at    time.Time
-	cause *suspect // the request that is held back for it; nil while that is not known
+	cause *suspect // the held-back request that caused it; nil if unknown
 }
 
-// suspect is a request under which endpoints have ended.
+// suspect is a request that was in flight at endpoints when they crashed.
 type suspect struct {
-	print Print
-	seen  time.Time // of the last end
-	ends  []*ending
-	under time.Duration // for how long it was under way at them, in all
+	print    Print
+	lastSeen time.Time // time of the last crash
+	crashes  []*crashRecord
+	inFlight time.Duration // total time in flight at the endpoints that crashed
 }
 
-// count returns how many ends no other request is known to have caused.
+// count returns the number of crashes that no other request is known to have caused.
 func (s *suspect) count() (n int) {
-	for _, e := range s.ends {
+	for _, e := range s.crashes {
 		if e.cause == nil || e.cause == s {
 			n++
 		}
@@ -70,65 +70,64 @@
 	return n
 }
 
-// Ledger holds what a daemon knows of requests under which endpoints end. The zero value
-// is ready. Its methods may be called by several goroutines.
+// Ledger records the requests that were in flight when endpoints crashed, and the verdicts on them.
+// The zero value is ready. Its methods are safe for concurrent use.
 type Ledger struct {
-	holding atomic.Int32 // verdicts, so that a request is checked for free while there is none
+	verdictCount atomic.Int32 // number of verdicts; lets Held skip the lock while it is 0
 
 	mu       sync.Mutex
-	ended    map[string]*ending // the last end of each endpoint
+	crashes  map[string]*crashRecord // last crash of each endpoint
 	suspects map[Print]*suspect
 	verdicts map[Print]Verdict
 	answered Recent[Print]
 }
 
-// setUp makes the zero value usable; the caller holds the lock.
-func (l *Ledger) setUp() {
+// lazyInit makes the zero value usable. The caller holds the lock.
+func (l *Ledger) lazyInit() {
 	if l.suspects != nil {
 		return
 	}
-	l.ended, l.suspects, l.verdicts = make(map[string]*ending), make(map[Print]*suspect), make(map[Print]Verdict)
-	l.answered = Recent[Print]{Period: answeredFor, Most: answeredMost}
+	l.crashes, l.suspects, l.verdicts = make(map[string]*crashRecord), make(map[Print]*suspect), make(map[Print]Verdict)
+	l.answered = Recent[Print]{Period: answeredTTL, Most: maxAnswered}
 }
 
-// Ended takes in that an endpoint has ended, and returns the verdicts that follow.
+// Ended records the crash of an endpoint and returns the new verdicts.
 func (l *Ledger) Ended(now time.Time, e End) (fresh []Verdict) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.setUp()
-	l.forget(now)
-	end := l.ended[e.Endpoint]
-	if end == nil || now.Sub(end.at) >= sameEnd {
-		end = &ending{at: now}
-		l.ended[e.Endpoint] = end
+	l.lazyInit()
+	l.evict(now)
+	crash := l.crashes[e.Endpoint]
+	if crash == nil || now.Sub(crash.at) >= dedupWindow {
+		crash = &crashRecord{at: now}
+		l.crashes[e.Endpoint] = crash
 	}
-	var here []*suspect
+	var suspects []*suspect
 	for _, f := range e.Flights {
-		if s := l.blame(now, end, f); s != nil {
-			here = append(here, s)
+		if s := l.blame(now, crash, f); s != nil {
+			suspects = append(suspects, s)
 		}
 	}
-	for _, s := range here {
-		if _, held := l.verdicts[s.print]; held && end.cause == nil {
-			end.cause = s
+	for _, s := range suspects {
+		if _, held := l.verdicts[s.print]; held && crash.cause == nil {
+			crash.cause = s
 		}
 	}
-	// One that is held back explains its endpoints' ends, so that what ran beside it is no
-	// longer suspected for them. Of several it is the one that was under way for the
-	// shortest time: a request that crashes what runs it does so as it begins.
-	slices.SortFunc(here, func(a, b *suspect) int { return cmp.Compare(a.under, b.under) })
-	for _, s := range here {
-		if _, held := l.verdicts[s.print]; held || s.count() < endsToHold {
+	// A request that is held back explains the crashes it was in flight for, so that others are no
+	// longer suspected for them. Suspects are checked by their time in flight, shortest first, as a
+	// request that crashes an endpoint does so when it begins.
+	slices.SortFunc(suspects, func(a, b *suspect) int { return cmp.Compare(a.inFlight, b.inFlight) })
+	for _, s := range suspects {
+		if _, held := l.verdicts[s.print]; held || s.count() < crashThreshold {
 			continue
 		}
-		fresh = append(fresh, l.hold(now, s))
+		fresh = append(fresh, l.issueVerdict(now, s))
 	}
 	return fresh
 }
 
-// blame adds an end to what a request is suspected of, or returns nil if the request was
-// answered lately.
-func (l *Ledger) blame(now time.Time, e *ending, f Flight) *suspect {
+// blame adds a crash to a request's record. It returns nil if the request was answered recently.
+func (l *Ledger) blame(now time.Time, e *crashRecord, f Flight) *suspect {
 	if l.answered.Has(now, f.Print) {
 		return nil
 	}
@@ -137,92 +136,93 @@
 		s = &suspect{print: f.Print}
 		l.suspects[f.Print] = s
 	}
-	s.ends = slices.DeleteFunc(s.ends, func(x *ending) bool { return now.Sub(x.at) >= suspectFor })
-	if !slices.Contains(s.ends, e) {
-		s.ends = append(s.ends, e)
-		s.under += f.For
+	s.crashes = slices.DeleteFunc(s.crashes, func(x *crashRecord) bool { return now.Sub(x.at) >= suspectTTL })
+	if !slices.Contains(s.crashes, e) {
+		s.crashes = append(s.crashes, e)
+		s.inFlight += f.For
 	}
-	s.seen = now
+	s.lastSeen = now
 	return s
 }
 
-// hold makes a verdict on a suspect.
-func (l *Ledger) hold(now time.Time, s *suspect) Verdict {
+// issueVerdict creates a verdict on a suspect.
+func (l *Ledger) issueVerdict(now time.Time, s *suspect) Verdict {
 	first := now
-	for _, e := range s.ends {
+	for _, e := range s.crashes {
 		if e.cause == nil && e.at.Before(first) {
 			first = e.at
 		}
 	}
 	v := newVerdict(now, s.print, s.count(), now.Sub(first))
-	l.adopt(v)
+	l.apply(v)
 	return v
 }
 
-// adopt takes a verdict over, and what it explains; the caller holds the lock.
-func (l *Ledger) adopt(v Verdict) {
-	if _, known := l.verdicts[v.Print]; !known && len(l.verdicts) >= verdictsMost {
-		l.dropSoonest()
+// apply stores a verdict, and marks the crashes that it explains. The caller holds the lock.
+func (l *Ledger) apply(v Verdict) {
+	if _, known := l.verdicts[v.Print]; !known && len(l.verdicts) >= maxVerdicts {
+		l.evictSoonest()
 	}
 	l.verdicts[v.Print] = v
-	l.holding.Store(int32(len(l.verdicts)))
+	l.verdictCount.Store(int32(len(l.verdicts)))
 	s := l.suspects[v.Print]
 	if s == nil {
 		return
 	}
-	for _, e := range s.ends {
+	for _, e := range s.crashes {
 		if e.cause == nil {
 			e.cause = s
 		}
 	}
 }
 
-// Hear takes in the verdict of another daemon. It reports whether this one knows better: the
-// request was answered lately.
+// Hear merges a verdict of another daemon. It reports whether the verdict is wrong because the
+// request was answered here recently.
 func (l *Ledger) Hear(now time.Time, v Verdict) (wrong bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.setUp()
+	l.lazyInit()
 	if l.answered.Has(now, v.Print) {
 		return true
 	}
 	if !v.Until.After(now) {
 		return false
 	}
-	l.adopt(l.verdicts[v.Print].merge(v.bounded(now)))
+	l.apply(l.verdicts[v.Print].merge(v.bounded(now)))
 	return false
 }
 
-// Answered takes in that a request was answered whole: it does not crash what runs it. It
-// reports whether others should know, since they hold it back or are near to it.
-func (l *Ledger) Answered(now time.Time, p Print) (news bool) {
+// Answered records a complete answer to a request, which shows that it doesn't crash endpoints. It
+// reports whether other daemons should be told, because the request is held back or one crash short
+// of it.
+func (l *Ledger) Answered(now time.Time, p Print) (notify bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.setUp()
+	l.lazyInit()
 	s := l.suspects[p]
 	_, held := l.verdicts[p]
 	l.clear(now, p)
-	return held || s != nil && len(s.ends) >= endsToHold-1
+	return held || s != nil && len(s.crashes) >= crashThreshold-1
 }
 
-// Clear takes in that a request was answered at another daemon.
+// Clear records that a request was answered at another daemon.
 func (l *Ledger) Clear(now time.Time, p Print) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.setUp()
+	l.lazyInit()
 	l.clear(now, p)
 }
 
 func (l *Ledger) clear(now time.Time, p Print) {
 	delete(l.suspects, p)
 	delete(l.verdicts, p)
-	l.holding.Store(int32(len(l.verdicts)))
+	l.verdictCount.Store(int32(len(l.verdicts)))
 	l.answered.Add(now, p)
 }
 
-// Held returns the verdict on a request that is held back.
+// Held returns the verdict on a request, and whether it is held back.
 func (l *Ledger) Held(now time.Time, p Print) (v Verdict, held bool) {
-	if l.holding.Load() == 0 {
+	if l.verdictCount.Load() == 0 {
 		return Verdict{}, false
 	}
 	l.mu.Lock()
@@ -231,8 +231,8 @@
 	return v, held && v.Until.After(now)
 }
 
-// Suspected returns under how many ends a request was under way that nothing else is known
-// to have caused.
+// Suspected returns the number of crashes that a request was in flight for and that no other request
+// is known to have caused.
 func (l *Ledger) Suspected(p Print) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -243,9 +243,9 @@
 	return s.count()
 }
 
-// Verdicts returns the verdicts in force.
+// Verdicts returns the verdicts in force, and deletes expired ones.
 func (l *Ledger) Verdicts(now time.Time) []Verdict {
-	if l.holding.Load() == 0 {
+	if l.verdictCount.Load() == 0 {
 		return nil
 	}
 	l.mu.Lock()
@@ -258,25 +258,26 @@
 		}
 		out = append(out, v)
 	}
-	l.holding.Store(int32(len(l.verdicts)))
+	l.verdictCount.Store(int32(len(l.verdicts)))
 	return out
 }
 
-// forget drops what is old, and the oldest of what is too much; the caller holds the lock.
-func (l *Ledger) forget(now time.Time) {
-	maps.DeleteFunc(l.ended, func(_ string, e *ending) bool { return now.Sub(e.at) >= sameEnd })
-	maps.DeleteFunc(l.suspects, func(_ Print, s *suspect) bool { return now.Sub(s.seen) >= suspectFor })
-	if len(l.suspects) <= suspectsMost {
+// evict deletes expired records, and the oldest suspects if there are too many. The caller holds the
+// lock.
+func (l *Ledger) evict(now time.Time) {
+	maps.DeleteFunc(l.crashes, func(_ string, e *crashRecord) bool { return now.Sub(e.at) >= dedupWindow })
+	maps.DeleteFunc(l.suspects, func(_ Print, s *suspect) bool { return now.Sub(s.lastSeen) >= suspectTTL })
+	if len(l.suspects) <= maxSuspects {
 		return
 	}
-	oldest := slices.SortedFunc(maps.Values(l.suspects), func(a, b *suspect) int { return a.seen.Compare(b.seen) })
-	for _, s := range oldest[:len(oldest)-suspectsMost/2] {
+	oldest := slices.SortedFunc(maps.Values(l.suspects), func(a, b *suspect) int { return a.lastSeen.Compare(b.lastSeen) })
+	for _, s := range oldest[:len(oldest)-maxSuspects/2] {
 		delete(l.suspects, s.print)
 	}
 }
 
-// dropSoonest drops the verdict that ends first; the caller holds the lock.
-func (l *Ledger) dropSoonest() {
+// evictSoonest deletes the verdict that expires first. The caller holds the lock.
+func (l *Ledger) evictSoonest() {
 	soonest := slices.MinFunc(slices.Collect(maps.Values(l.verdicts)), func(a, b Verdict) int { return a.Until.Compare(b.Until) })
 	delete(l.verdicts, soonest.Print)
 }
--- a/crash/recent.go
+++ b/crash/recent.go
@@ -4,41 +4,42 @@
 
 import "time"
 
-// Recent remembers keys for at least a period, or until as many as Most were added, and
-// for twice that at the most. The zero value remembers nothing.
+// Recent is a set of recently added keys. A key stays for at least Period, unless Most newer ones
+// are added, and for at most twice Period. The zero value holds nothing.
 type Recent[K comparable] struct {
 	Period time.Duration
 	Most   int
 
-	began     time.Time // of the newer half
-	now, last map[K]struct{}
+	started           time.Time // start of the current generation
+	current, previous map[K]struct{}
 }
 
-// Add remembers a key.
+// Add adds a key.
 func (r *Recent[K]) Add(now time.Time, k K) {
-	r.turn(now)
-	if r.now == nil {
-		r.now = make(map[K]struct{})
+	r.rotate(now)
+	if r.current == nil {
+		r.current = make(map[K]struct{})
 	}
-	r.now[k] = struct{}{}
+	r.current[k] = struct{}{}
 }
 
-// Has reports whether a key is remembered.
+// Has reports whether a key is in the set.
 func (r *Recent[K]) Has(now time.Time, k K) bool {
-	r.turn(now)
-	_, newer := r.now[k]
-	_, older := r.last[k]
+	r.rotate(now)
+	_, newer := r.current[k]
+	_, older := r.previous[k]
 	return newer || older
 }
 
-// turn drops the older half once the newer one is full or a period long.
-func (r *Recent[K]) turn(now time.Time) {
-	age := now.Sub(r.began)
-	if age < r.Period && len(r.now) < r.Most {
+// rotate starts a new generation once the current one is full or older than Period, and drops the
+// previous one.
+func (r *Recent[K]) rotate(now time.Time) {
+	age := now.Sub(r.started)
+	if age < r.Period && len(r.current) < r.Most {
 		return
 	}
-	r.last, r.now, r.began = r.now, nil, now
+	r.previous, r.current, r.started = r.current, nil, now
 	if age >= 2*r.Period {
-		r.last = nil
+		r.previous = nil
 	}
 }
