--- a/capacity/demand.go
+++ b/capacity/demand.go
@@ -8,61 +8,59 @@
 )
 
 const (
-	// demandRise and demandFall are how fast the demand that is planned for
-	// follows the demand that is seen, demandStep is the time over which it is
-	// seen.
-	demandRise = time.Second
-	demandFall = 8 * time.Second
-	demandStep = 500 * time.Millisecond
+	// riseTime and fallTime are the time constants by which the estimate follows a rising and a
+	// falling load; sampleInterval is the least time between two samples.
+	riseTime       = time.Second
+	fallTime       = 8 * time.Second
+	sampleInterval = 500 * time.Millisecond
 )
 
-// Demand follows how many endpoints would be busy all the time, and how many
-// requests run at them. Both follow what is seen only after a while: daemons that
-// have all just started get at once what callers have kept back meanwhile. The
-// zero value is ready.
+// Demand estimates the number of endpoints that would be busy all the time, and the number of
+// requests running at endpoints. Both are smoothed: daemons that have all just started get at once
+// the requests that callers held back. The zero value is ready.
 type Demand struct {
-	Busy    float64 // endpoints that would read all the time
-	Running float64 // requests at the endpoints
-	Seen    bool    // something was ever asked
+	Busy    float64 // endpoints that would process prompts all the time
+	Running float64 // requests running at endpoints
+	Seen    bool    // there was ever any load
 
-	at      time.Time
-	read    time.Duration
-	counted time.Time // when Running was followed last
+	sampledAt time.Time
+	readTotal time.Duration
+	countedAt time.Time // when Running was last updated
 }
 
-// Count takes in how many requests are at a service's endpoints, and how many places these have.
-// Without any place nothing is learnt: the requests are not there because there is nowhere to be.
+// Count updates Running with the requests at a service's endpoints, given the number of slots that
+// these have. With no slots it does nothing: no request can run then, whatever the load.
 func (d *Demand) Count(now time.Time, running, places int) {
 	if places <= 0 {
 		return
 	}
-	if !d.counted.IsZero() {
-		d.Running += (float64(running) - d.Running) * followed(now.Sub(d.counted), float64(running) > d.Running)
+	if !d.countedAt.IsZero() {
+		d.Running += (float64(running) - d.Running) * smoothing(now.Sub(d.countedAt), float64(running) > d.Running)
 	}
-	d.counted = now
+	d.countedAt = now
 }
 
-// followed returns by which share of its distance a value is followed in a time.
-func followed(dt time.Duration, rises bool) float64 {
-	span := demandFall
+// smoothing returns the weight of a new sample after dt.
+func smoothing(dt time.Duration, rises bool) float64 {
+	timeConstant := fallTime
 	if rises {
-		span = demandRise
+		timeConstant = riseTime
 	}
-	return 1 - math.Exp(-dt.Seconds()/span.Seconds())
+	return 1 - math.Exp(-dt.Seconds()/timeConstant.Seconds())
 }
 
-// Take takes in the time of reading ever asked of a service.
+// Take updates Busy with the total time of prompt processing requested of a service so far.
 func (d *Demand) Take(now time.Time, read time.Duration) {
-	if d.at.IsZero() {
-		d.at, d.read = now, read
+	if d.sampledAt.IsZero() {
+		d.sampledAt, d.readTotal = now, read
 		return
 	}
-	dt := now.Sub(d.at)
-	if dt < demandStep {
+	dt := now.Sub(d.sampledAt)
+	if dt < sampleInterval {
 		return
 	}
-	rate := (read - d.read).Seconds() / dt.Seconds()
+	rate := (read - d.readTotal).Seconds() / dt.Seconds()
 	d.Seen = d.Seen || rate > 0
-	d.Busy += (rate - d.Busy) * followed(dt, rate > d.Busy)
-	d.at, d.read = now, read
+	d.Busy += (rate - d.Busy) * smoothing(dt, rate > d.Busy)
+	d.sampledAt, d.readTotal = now, read
 }
--- a/capacity/doc.go
+++ b/capacity/doc.go
@@ -1,16 +1,16 @@
 // SPDX-License-Identifier: MIT
 
-// Package capacity decides how many endpoints of each kind a service should
-// have. Reclaimable endpoints are cheap, but a zone's go together at a notice
-// that is shorter than the start of a replacement, and none may be had for a
-// while after; those on demand are dear and stay.
+// Package capacity decides how many endpoints of each kind a service should have. Reclaimable
+// endpoints are cheap, but all of a zone are reclaimed together, at a notice shorter than the start
+// of a replacement, and there may be none to order for a while afterwards. Endpoints on demand are
+// expensive and stay.
 //
-// Demand follows what is asked of a service, and Enough tells how many endpoints
-// serve that within its target, by queueing. Plan orders more reclaimable ones
-// than that, the more the cheaper they are, fills up with others while too few are
-// to be had, and gives one on demand up only once reclaimable ones serve in its
-// place. Hold keeps plans from giving up what is soon wanted again.
+// Demand estimates the load of a service, and Enough computes by queueing theory how many endpoints
+// serve it within its target. Plan orders more reclaimable endpoints than that, the more the cheaper
+// they are, and fills up with endpoints on demand while too few are available. It gives up an
+// endpoint on demand only once reclaimable ones serve in its place. Hold delays the release of
+// endpoints, which may soon be needed again.
 //
-// Nothing here keeps time or calls anything: the present time and all that is
-// known come as arguments.
+// The package does no input or output and reads no clock: callers pass the current time and all
+// state.
 package capacity
--- a/capacity/enough_test.go
+++ b/capacity/enough_test.go
@@ -22,29 +22,29 @@
 	assert.LessOrEqual(t, n, 8)
 	l := load()
 	l.Spread = 30
-	assert.Greater(t, capacity.Enough(l), n, "prompts that differ more wait longer")
+	assert.Greater(t, capacity.Enough(l), n, "a higher variation means a longer wait")
 	l = load()
 	l.Target = 2 * time.Second
-	assert.Less(t, capacity.Enough(l), n, "a longer target bears a longer wait")
+	assert.Less(t, capacity.Enough(l), n, "a longer target allows a longer wait")
 	l = load()
 	l.Places = 9
-	assert.Equal(t, 12, capacity.Enough(l), "three quarters of the places")
+	assert.Equal(t, 12, capacity.Enough(l), "three quarters of the slots")
 }
 
-// Prompts that are sent within the time until others hear of them meet at engines:
-// in that time each engine is sent its use times as much reading.
-func TestDaemonsThatHearLateNeedMore(t *testing.T) {
+// Guards against too few endpoints where daemons learn late of each other's prompts: prompts sent
+// within that delay collide at engines.
+func TestStaleStateNeedsMoreEndpoints(t *testing.T) {
 	l := load()
 	l.Busy = 20
 	n := capacity.Enough(l)
 	l.Blind = 15 * time.Millisecond
-	assert.Equal(t, n, capacity.Enough(l), "short beside the target")
+	assert.Equal(t, n, capacity.Enough(l), "the delay is short compared with the target")
 	l.Blind = 130 * time.Millisecond
 	assert.GreaterOrEqual(t, float64(capacity.Enough(l))*l.Target.Seconds()*0.25, 20*l.Blind.Seconds())
 	assert.Greater(t, capacity.Enough(l), n)
 }
 
-func TestLargeServicesNeedLessToSpare(t *testing.T) {
+func TestLargeServicesNeedLessSpareCapacity(t *testing.T) {
 	small, large := load(), load()
 	large.Busy *= 10
 	use := func(l capacity.Load) float64 { return l.Busy / float64(capacity.Enough(l)) }
@@ -62,12 +62,12 @@
 		}
 		l.Busy *= 1.5
 		if capacity.Enough(l) < n {
-			t.Fatalf("fewer for more")
+			t.Fatalf("fewer endpoints for a higher load")
 		}
 	})
 }
 
-func TestDemandIsFollowedAfterAWhile(t *testing.T) {
+func TestDemandIsSmoothed(t *testing.T) {
 	var d capacity.Demand
 	at := time.Unix(1000, 0)
 	d.Take(at, 0)
@@ -78,16 +78,16 @@
 	assert.True(t, d.Seen)
 	assert.InDelta(t, 3, d.Busy, 0.1)
 	d.Take(at.Add(22*time.Second), 60*time.Second)
-	assert.Greater(t, d.Busy, 2.0, "what falls is followed more slowly")
+	assert.Greater(t, d.Busy, 2.0, "a falling load is followed more slowly")
 }
 
-func TestFewerAreOrderedOnlyAfterAWhile(t *testing.T) {
+func TestScaleDownIsDelayed(t *testing.T) {
 	var h capacity.Hold
 	at := time.Unix(1000, 0)
-	have := map[capacity.Kind]int{spot("a"): 5}
-	plan := func(n int) []capacity.Order { return []capacity.Order{{Kind: spot("a"), Count: n}} }
+	have := map[capacity.Kind]int{reclaimable("a"): 5}
+	plan := func(n int) []capacity.Order { return []capacity.Order{{Kind: reclaimable("a"), Count: n}} }
 	assert.Equal(t, plan(5), h.Settle(at, plan(3), have))
 	assert.Equal(t, plan(6), h.Settle(at.Add(5*time.Second), plan(6), have), "more at once")
-	assert.Equal(t, plan(5), h.Settle(at.Add(9*time.Second), plan(3), have), "counted anew")
+	assert.Equal(t, plan(5), h.Settle(at.Add(9*time.Second), plan(3), have), "the delay starts again")
 	assert.Equal(t, plan(3), h.Settle(at.Add(18*time.Second), plan(3), have))
 }
--- a/capacity/plan.go
+++ b/capacity/plan.go
@@ -10,47 +10,46 @@
 )
 
 const (
-	// spareCost is what is spent on reclaimable endpoints beyond those that are
-	// needed, as a share of what the needed ones cost on demand. A zone's go at
-	// once, often a second zone's soon after, and those that are left read faster
-	// meanwhile. At 0.22 of the price on demand that is three times the needed
-	// ones: with twice, three and four times, days with reclaims earned 0.556,
-	// 0.576 and 0.565 of their worth.
+	// spareCost is the cost of reclaimable endpoints beyond those needed, as a share of the cost of
+	// the needed ones on demand. A whole zone is reclaimed at once, often a second one soon after,
+	// and the endpoints left over process prompts faster meanwhile. At 0.22 of the price on demand
+	// it amounts to three times the needed number: with two, three and four times, days with
+	// reclaims earned 0.556, 0.576 and 0.565 of their value.
 	spareCost = 0.45
-	// earlyShare is the part of the most that all zones may have which is ordered
-	// before the endpoints found at a first start can be counted: what they were
-	// then found with was a third to a half of it.
+	// earlyShare is the part of the maximum over all zones that is ordered at a first start, before
+	// the existing endpoints are counted. Services had a third to a half of the maximum at that
+	// time.
 	earlyShare = 0.4
 )
 
-// Kind is one kind of endpoint of a service in a zone.
+// Kind is a zone and purchase type of a service's endpoints.
 type Kind struct {
 	Zone        string
 	Reclaimable bool
 }
 
-// Limits are what may be ordered, and at which price.
+// Limits are the bounds and prices of orders.
 type Limits struct {
 	Least      int                // endpoints in each zone
 	Most       int                // endpoints in each zone, of both kinds
-	Startup    time.Duration      // from the order to the first request
-	SpotPrice  float64            // of a reclaimable endpoint, as a share of the zone's price
-	ZonePrices map[string]float64 // by zone, relative
+	Startup    time.Duration      // time from the order to the first request
+	SpotPrice  float64            // price of a reclaimable endpoint, as a share of the zone's price
+	ZonePrices map[string]float64 // relative price of each zone
 }
 
-// State is what is known of a service's endpoints.
+// State is the known state of a service's endpoints.
 type State struct {
 	Limits
-	Found   map[string]int // endpoints by zone that the service was found with
-	Live    map[Kind]int   // that take requests
-	Serving map[Kind]int   // those of them that have answered
-	Coming  map[Kind]int   // that are ordered and still start
-	Enough  int            // endpoints that serve the load; less than 0 while it is not known
-	Dry     bool           // reclaimable endpoints were refused lately
-	Idle    bool           // the system has just begun, and nothing is asked of the service yet
-	Early   bool           // the endpoints that it was found with are not counted yet
-	NoPrice bool           // twice the needed reclaimable ones at any price, for comparison
-	NoHold  bool           // what is coming counts as serving, for comparison
+	Found   map[string]int // endpoints by zone that existed at the start
+	Live    map[Kind]int   // endpoints that accept requests
+	Serving map[Kind]int   // those of them that have answered a request
+	Coming  map[Kind]int   // endpoints that are ordered and still starting
+	Enough  int            // endpoints needed for the load; negative while unknown
+	Dry     bool           // an order of reclaimable endpoints was refused recently
+	Idle    bool           // the system has just started, and the service has no load yet
+	Early   bool           // the endpoints that existed at the start are not counted yet
+	NoPrice bool           // order twice the needed reclaimable endpoints at any price, for comparison
+	NoHold  bool           // count starting endpoints as serving, for comparison
 }
 
 // Order is a number of endpoints of a kind.
@@ -59,24 +58,24 @@
 	Count int
 }
 
-// Plan decides how many endpoints of each kind a service should have: reclaimable
-// ones spread over the zones, and others as far as too few of those are sure.
+// Plan returns the number of endpoints of each kind that a service should have: reclaimable ones
+// spread over the zones, and ones on demand for those that are not dependably available.
 func Plan(s State) []Order {
 	zones := slices.Sorted(maps.Keys(s.ZonePrices))
 	if len(zones) == 0 {
 		return nil
 	}
 	if s.Enough < 0 {
-		return s.unknown(zones)
+		return s.planWithoutLoad(zones)
 	}
 	s.Enough = max(s.Enough, len(zones)*s.Least)
 	out := s.spread(zones, s.reclaimable(zones))
-	return append(out, s.onDemand(zones, s.firm(zones))...)
+	return append(out, s.onDemand(zones, s.onDemandCount(zones))...)
 }
 
-// unknown is the plan while the load is not known: what was there is replaced by
-// reclaimable endpoints, before the first request if nothing is asked yet.
-func (s State) unknown(zones []string) []Order {
+// planWithoutLoad is the plan while the load is unknown: existing endpoints are replaced by
+// reclaimable ones, before the first request if there is no load yet.
+func (s State) planWithoutLoad(zones []string) []Order {
 	found, coming := 0, 0
 	for _, z := range zones {
 		found += s.Found[z]
@@ -102,18 +101,18 @@
 	return out
 }
 
-// reclaimable returns how many reclaimable endpoints there should be. More than
-// as many as are needed in each zone would spare nothing.
+// reclaimable returns how many reclaimable endpoints there should be. More than the needed number in
+// each zone would have no benefit.
 func (s State) reclaimable(zones []string) int {
-	times := 1 + spareCost/math.Max(s.SpotPrice, 0.01)
+	factor := 1 + spareCost/math.Max(s.SpotPrice, 0.01)
 	if s.NoPrice {
-		times = 2
+		factor = 2
 	}
-	return int(math.Ceil(math.Min(times, float64(len(zones))) * float64(s.Enough)))
+	return int(math.Ceil(math.Min(factor, float64(len(zones))) * float64(s.Enough)))
 }
 
-// spread gives the zones even numbers of reclaimable endpoints, since a zone's are
-// taken away together.
+// spread distributes reclaimable endpoints evenly over the zones, since those of a zone are
+// reclaimed together.
 func (s State) spread(zones []string, want int) []Order {
 	out := make([]Order, 0, 2*len(zones))
 	for i, z := range zones {
@@ -126,43 +125,41 @@
 	return out
 }
 
-// sure returns how many reclaimable endpoints are sure to be there while what is
-// ordered now starts. While none are to be had, that is without the zone with the
-// most of them, which may be the next to go.
-func (s State) sure(zones []string, counts ...map[Kind]int) int {
-	sum, most := 0, 0
+// dependable returns how many reclaimable endpoints will be there while new orders start. While none
+// are available to order it leaves out the zone with the most of them, which may be reclaimed next.
+func (s State) dependable(zones []string, counts ...map[Kind]int) int {
+	sum, largestZone := 0, 0
 	for _, z := range zones {
 		n := 0
 		for _, c := range counts {
 			n += c[Kind{z, true}]
 		}
 		sum += n
-		most = max(most, n)
+		largestZone = max(largestZone, n)
 	}
 	if s.Dry {
-		sum -= most
+		sum -= largestZone
 	}
 	return sum
 }
 
-// firm returns how many endpoints on demand there should be. More are ordered for
-// what is neither serving nor starting; none is given up before reclaimable ones
-// serve in its place.
-func (s State) firm(zones []string) int {
-	most := max(0, s.Enough-s.sure(zones, s.Serving))
-	least := max(0, s.Enough-s.sure(zones, s.Live, s.Coming))
+// onDemandCount returns how many endpoints on demand there should be. More are ordered if too few
+// endpoints are serving or starting; none is given up before reclaimable ones serve in its place.
+func (s State) onDemandCount(zones []string) int {
+	maxOnDemand := max(0, s.Enough-s.dependable(zones, s.Serving))
+	minOnDemand := max(0, s.Enough-s.dependable(zones, s.Live, s.Coming))
 	if s.NoHold {
-		return least
+		return minOnDemand
 	}
 	have := 0
 	for _, z := range zones {
 		have += s.Live[Kind{z, false}] + s.Coming[Kind{z, false}]
 	}
-	return min(max(have, least), max(most, least))
+	return min(max(have, minOnDemand), max(maxOnDemand, minOnDemand))
 }
 
-// onDemand spreads endpoints on demand over the cheapest zones, keeping those that
-// are there already.
+// onDemand distributes endpoints on demand over the cheapest zones, after those that already have
+// some.
 func (s State) onDemand(zones []string, want int) []Order {
 	byPrice := slices.Clone(zones)
 	slices.SortStableFunc(byPrice, func(a, b string) int {
