--- a/clock/clock.go
+++ b/clock/clock.go
@@ -9,49 +9,50 @@
 	"golang.org/x/sys/unix"
 )
 
-// Slept measures for how long the box has been suspended since its start. Tests replace it
-// before they start what they test.
-var Slept = suspended
+// Slept returns how long the box has been suspended since it booted. Tests replace it before they
+// start the code under test.
+var Slept = measureSuspension
 
-// suspended compares the clock that counts a suspension with the one that Go's timers follow. A
-// box that cannot tell counts none.
-func suspended() time.Duration {
+// measureSuspension compares the clock that includes suspensions with the one that Go's timers use.
+// It returns 0 where the clocks cannot be read.
+func measureSuspension() time.Duration {
 	var before, boot, after unix.Timespec
-	for range readings {
+	for range maxReadings {
 		if unix.ClockGettime(unix.CLOCK_MONOTONIC, &before) != nil || unix.ClockGettime(unix.CLOCK_BOOTTIME, &boot) != nil ||
 			unix.ClockGettime(unix.CLOCK_MONOTONIC, &after) != nil {
 			return 0
 		}
-		if after.Nano()-before.Nano() < int64(readingMost) {
+		if after.Nano()-before.Nano() < int64(maxReadTime) {
 			return time.Duration(boot.Nano() - before.Nano())
 		}
 	}
-	return time.Duration(boot.Nano() - after.Nano()) // held up each time: the least that it can be
+	return time.Duration(boot.Nano() - after.Nano()) // delayed each time: a lower bound
 }
 
 const (
-	// readings is how often the clocks are read for one comparison: a process that is held up
-	// between two of them would take that for a sleep.
-	readings    = 3
-	readingMost = 5 * time.Millisecond
+	// The clocks are read up to maxReadings times for one comparison, until a reading takes less
+	// than maxReadTime: a delay of the process between two clocks would be taken for a suspension.
+	maxReadings = 3
+	maxReadTime = 5 * time.Millisecond
 )
 
-// slept is what Look has measured last, in nanoseconds.
-var slept atomic.Int64
+// suspendedTotal is the result of the last Look, in nanoseconds.
+var suspendedTotal atomic.Int64
 
-// Look measures anew, and returns for how long the box has slept since its start. It takes
-// three system calls, so that Now does not look: whoever has waited does before it judges an age.
+// Look updates the time that the box was suspended since it booted, and returns it. It takes three
+// system calls, so Now does not call it: call it after a wait and before checking the age of
+// something.
 func Look() time.Duration {
 	d := Slept()
-	slept.Store(int64(d))
+	suspendedTotal.Store(int64(d))
 	return d
 }
 
-// Now returns the present time, in which the suspensions up to the last look count.
-func Now() time.Time { return time.Now().Add(time.Duration(slept.Load())) }
+// Now returns the current time, including suspensions up to the last Look.
+func Now() time.Time { return time.Now().Add(time.Duration(suspendedTotal.Load())) }
 
-// Since returns the time since t, which is of Now.
+// Since returns the time since t, a result of Now.
 func Since(t time.Time) time.Duration { return Now().Sub(t) }
 
-// Until returns the time until t, which is of Now.
+// Until returns the time until t, a result of Now.
 func Until(t time.Time) time.Duration { return t.Sub(Now()) }
--- a/clock/clock_test.go
+++ b/clock/clock_test.go
@@ -12,18 +12,18 @@
 	"streambend.example/clock"
 )
 
-func TestABoxThatHasNotSleptHasTheUsualTime(t *testing.T) {
+func TestNowWithoutASuspension(t *testing.T) {
 	before := clock.Look()
-	assert.Less(t, (clock.Look() - before).Abs(), 10*time.Millisecond, "it has not slept meanwhile")
+	assert.Less(t, (clock.Look() - before).Abs(), 10*time.Millisecond, "not suspended meanwhile")
 	assert.InDelta(t, clock.Slept().Seconds(), time.Until(clock.Now()).Seconds(), 0.1)
 }
 
-// Two clocks, of which one halts while the box sleeps.
-func TestASleepCounts(t *testing.T) {
+// Simulates a suspension, in which one of the two clocks stops.
+func TestSuspensionCounts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		slept := time.Duration(0)
+		suspended := time.Duration(0)
 		old := clock.Slept
-		clock.Slept = func() time.Duration { return slept }
+		clock.Slept = func() time.Duration { return suspended }
 		defer func() {
 			clock.Slept = old
 			clock.Look()
@@ -33,7 +33,7 @@
 		deadline := read.Add(5 * time.Second)
 		time.Sleep(time.Second)
 		assert.Equal(t, time.Second, clock.Since(read))
-		slept = 10 * time.Second
+		suspended = 10 * time.Second
 		assert.Equal(t, 10*time.Second, clock.Look())
 		assert.Equal(t, 11*time.Second, clock.Since(read))
 		assert.Equal(t, -6*time.Second, clock.Until(deadline))
--- a/clock/doc.go
+++ b/clock/doc.go
@@ -1,13 +1,13 @@
 // SPDX-License-Identifier: MIT
 
-// Package clock tells the present time by which ages are judged. On a box that was
-// suspended Go's monotonic readings have stood still: a lease, a list or a key would look as
-// fresh as before.
+// Package clock provides a current time that includes the time a box was suspended. Go's monotonic
+// clock stops during a suspension, so that a lease, a list or a key would look as fresh as before.
 //
 //	read := clock.Now()
-//	// ... the box sleeps for ten seconds ...
-//	clock.Since(read) // ten seconds and more
+//	// ... the box is suspended for ten seconds ...
+//	clock.Look()
+//	clock.Since(read) // at least ten seconds
 //
-// Times of this package are compared with each other only; what is told to others or
-// given to the network (timers, deadlines of connections) goes by package time.
+// Compare times of this package with each other only. Times that leave the process or control the
+// network (timers, connection deadlines) use package time.
 package clock
