--- a/code/code.go
+++ b/code/code.go
@@ -10,10 +10,10 @@
 	"github.com/pkg/errors"
 )
 
-// Code is a numbered result.
+// Code is a numbered result of a request or command.
 type Code int
 
-// The codes. A number, once given, keeps its meaning.
+// The codes. A number never changes its meaning.
 const (
 	OK Code = 0
 
@@ -65,7 +65,7 @@
 	PromiseBroken Code = 4001
 )
 
-// Ran tells whether a request with some result may have reached an endpoint.
+// Ran says whether a request may have reached an endpoint.
 type Ran int
 
 // The values of Ran.
@@ -75,7 +75,7 @@
 	RanWhole
 )
 
-// String returns the word used in the Streambend-Ran header.
+// String returns the value of the Streambend-Ran header.
 func (r Ran) String() string {
 	return [...]string{"not-run", "unknown", "whole"}[r]
 }
@@ -137,7 +137,7 @@
 	{PromiseBroken, "promise-broken", http.StatusInternalServerError, RanUnknown, "A trial found a promise broken."},
 }
 
-// Entry returns the table's row for c, or a zero row for an unknown number.
+// Entry returns the entry of c in Table, or a generic entry for an unknown number.
 func (c Code) Entry() Entry {
 	for _, e := range entries {
 		if e.Code == c {
@@ -150,14 +150,14 @@
 // String returns the number and the short name.
 func (c Code) String() string { return fmt.Sprintf("%d %s", int(c), c.Entry().Name) }
 
-// Ran tells whether a request that ended with c may have run.
+// Ran says whether a request that ended with c may have run.
 func (c Code) Ran() Ran { return c.Entry().Ran }
 
 // Error is an error that carries a Code.
 type Error struct {
 	Code       Code
 	Message    string
-	RetryAfter time.Duration // zero where coming back does not help
+	RetryAfter time.Duration // zero if a retry does not help
 }
 
 // Error returns the number, the name and the message.
@@ -168,14 +168,14 @@
 	return &Error{Code: c, Message: fmt.Sprintf(format, args...)}
 }
 
-// After sets the time after which the caller may come back.
+// After sets the time after which the caller may retry, and returns e.
 func (e *Error) After(d time.Duration) *Error {
 	e.RetryAfter = d
 	return e
 }
 
-// Of returns the Code that err carries: OK for nil and UnknownOutcome for an
-// error without one, since nothing is known about it.
+// Of returns the Code that err carries: OK for nil, and UnknownOutcome for an error without one, as
+// the request may have run.
 func Of(err error) Code {
 	if err == nil {
 		return OK
@@ -183,7 +183,7 @@
 	return From(err).Code
 }
 
-// From returns the Error in err's chain, or an UnknownOutcome made from it.
+// From returns the Error in err's chain, or an UnknownOutcome error with its text.
 func From(err error) *Error {
 	var e *Error
 	if errors.As(err, &e) {
