--- a/mechanism/doc.go
+++ b/mechanism/doc.go
@@ -1,10 +1,8 @@
 // SPDX-License-Identifier: MIT
 
-// Package mechanism names the parts of the daemon's policies that can be
-// switched off one by one, so that the worth of each is found by a run with it
-// and a run without it rather than by a change of the code.
+// Package mechanism defines switches for parts of the daemon's policies, so that the effect of each
+// can be measured by a run with it and a run without it.
 //
-// A Set holds those that are off; its zero value leaves all on. The package
-// knows nothing of what the mechanisms do: each is asked for where it decides,
-// with Set.On.
+// A Set holds the mechanisms that are switched off; its zero value leaves all on. The package does
+// not implement any of them: the code that does checks Set.On.
 package mechanism
--- a/mechanism/mechanism.go
+++ b/mechanism/mechanism.go
@@ -10,7 +10,7 @@
 	"streambend.example/code"
 )
 
-// Name names a mechanism.
+// Name identifies a mechanism.
 type Name int
 
 // The mechanisms.
@@ -34,7 +34,7 @@
 	count
 )
 
-// texts are the name that settings use, and what the mechanism does.
+// texts holds each mechanism's name in settings and what it does.
 var texts = [count]struct{ name, what string }{
 	StartTime:       {"start-time", "an engine's time to a first event has a part that no prompt's length changes"},
 	QueueModel:      {"queue-model", "endpoints by the expected wait for them, not by a share of their time"},
@@ -54,7 +54,7 @@
 	ScaleHold:       {"scale-hold", "fewer endpoints are ordered only once fewer were wanted for a while"},
 }
 
-// String returns the name that settings use.
+// String returns the mechanism's name in settings.
 func (n Name) String() string {
 	if n < 0 || n >= count {
 		return fmt.Sprintf("mechanism(%d)", int(n))
@@ -62,16 +62,16 @@
 	return texts[n].name
 }
 
-// Set holds mechanisms that are switched off.
+// Set is a bit set of the mechanisms that are switched off.
 type Set uint64
 
-// On reports whether a mechanism is not switched off.
+// On reports whether a mechanism is switched on.
 func (s Set) On(n Name) bool { return s&(1<<n) == 0 }
 
-// Without returns the set with one more mechanism switched off.
+// Without returns the set with a further mechanism switched off.
 func (s Set) Without(n Name) Set { return s | 1<<n }
 
-// String lists the mechanisms that are off.
+// String returns the names of the mechanisms that are switched off, separated by commas.
 func (s Set) String() string {
 	var off []string
 	for n := range count {
@@ -82,8 +82,8 @@
 	return strings.Join(off, ",")
 }
 
-// Parse returns the set in which the mechanisms of these names are off. The
-// error is code.BadSettings for a name that is not known.
+// Parse returns the set in which the mechanisms of these names are switched off. An unknown name is
+// a code.BadSettings error.
 func Parse(names []string) (Set, error) {
 	var s Set
 	for _, name := range names {
@@ -105,7 +105,7 @@
 	return 0, false
 }
 
-// List writes each mechanism with one line on what it does.
+// List writes a line with the name and effect of each mechanism.
 func List(w io.Writer) {
 	for _, t := range texts {
 		fmt.Fprintf(w, "%-18s %s\n", t.name, t.what)
