--- a/seam/cloud.go
+++ b/seam/cloud.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// BoxState is where a box is in its life.
+// BoxState is the lifecycle state of a box.
 type BoxState int
 
-// The states of a box on the list.
+// The states of a box in the list.
 const (
 	BoxStarting BoxState = iota
 	BoxLive
@@ -23,34 +23,34 @@
 	return [...]string{"starting", "live", "leaving", "gone"}[s]
 }
 
-// Box is one endpoint box as the platform's list shows it.
+// Box is an endpoint box as in the platform's list.
 type Box struct {
 	ID          string
-	Token       string // the start token it was ordered with
+	Token       string // start token of its order
 	Partner     string
 	Service     string
 	Zone        string
 	Class       string
 	Address     string // host:port of its endpoint
 	State       BoxState
-	Deadline    time.Time // when a leaving box ends; zero if not leaving
+	Deadline    time.Time // when a leaving box is stopped; zero otherwise
 	Reclaimable bool
 	Price       float64 // per hour, in the platform's currency
 }
 
-// BoxPage is an answer of the box list. Boxes is nil when nothing has
-// changed since the sequence number asked for.
+// BoxPage is a response of the box list. Boxes is nil if nothing has changed since the sequence
+// number of the query.
 type BoxPage struct {
 	Seq   int64
 	Boxes []Box
 }
 
-// BoxList is the platform's lagging list of live and leaving boxes.
+// BoxList is the platform's list of live and leaving boxes, which lags behind.
 type BoxList interface {
 	List(ctx context.Context, since int64) (BoxPage, error)
 }
 
-// StartOrder asks the cloud for one box. The same Token has one effect.
+// StartOrder is an order of one box. Orders with the same Token start only one box.
 type StartOrder struct {
 	Token       string
 	Partner     string
@@ -60,7 +60,7 @@
 	Reclaimable bool
 }
 
-// Price is what one class costs in one zone now.
+// Price is the current price of a class in a zone.
 type Price struct {
 	Zone        string
 	Class       string
@@ -74,18 +74,18 @@
 	Deadline time.Time
 }
 
-// ErrRefused says that the cloud has no box of this kind now.
-var ErrRefused = refused{}
+// ErrRefused says that the cloud has no box of this kind available now.
+var ErrRefused = refusedError{}
 
-type refused struct{}
+type refusedError struct{}
 
-func (refused) Error() string { return "seam: start refused" }
+func (refusedError) Error() string { return "seam: start refused" }
 
-// Cloud orders boxes.
+// Cloud is the API that starts and stops boxes.
 type Cloud interface {
-	// Start orders a box, or returns ErrRefused.
+	// Start starts a box, or returns ErrRefused.
 	Start(ctx context.Context, o StartOrder) (Box, error)
-	// Stop ends a box; epoch is the fence of the ordering lease.
+	// Stop stops a box; epoch is the fencing token of the lease that permits orders.
 	Stop(ctx context.Context, box string, epoch int64) error
 	Prices(ctx context.Context) ([]Price, error)
 	Notices(ctx context.Context) ([]Notice, error)
@@ -95,6 +95,6 @@
 type Objects interface {
 	// Get returns the object, or ErrNotFound.
 	Get(ctx context.Context, name string) ([]byte, error)
-	// Put writes the object once; ErrConflict if the name is taken.
+	// Put creates the object, or returns ErrConflict if the name is taken.
 	Put(ctx context.Context, name string, value []byte) error
 }
--- a/seam/doc.go
+++ b/seam/doc.go
@@ -1,15 +1,14 @@
 // SPDX-License-Identifier: MIT
 
-// Package seam holds the small interfaces through which the daemon reaches what
-// it does not bring itself: the table service, the object store, the cloud API,
-// the list of boxes and the network.
+// Package seam defines the interfaces between the daemon and its environment: the table service, the
+// object store, the cloud API, the list of boxes and the network.
 //
-// A Table item carries a revision and a nonce, so that a writer whose answer was
-// lost can read the item again and recognise its own write:
+// A Table item has a revision and a nonce, so that a writer that lost the answer to a write can read
+// the item again and recognize its own write:
 //
-//	w := seam.Write{Key: k, Absent: true, Value: v}
+//	w := seam.Write{Key: k, Value: v} // Rev 0: the item must not exist
 //	err := table.Write(ctx, nonce, w)
 //	if seam.Ambiguous(err) { ... Get and compare Nonce ... }
 //
-// Put does just that. Package cloud holds the adapters of public clouds.
+// Put does that. Package cloud has the adapters for public clouds.
 package seam
--- a/seam/limit.go
+++ b/seam/limit.go
@@ -10,10 +10,10 @@
 	"golang.org/x/time/rate"
 )
 
-// Priority orders the uses of the table when its rate is short.
+// Priority is the priority of a table call while the rate limit is reached.
 type Priority int
 
-// The priorities, the most urgent first.
+// The priorities, most urgent first.
 const (
 	PriorityClaim Priority = iota
 	PriorityLease
@@ -21,42 +21,41 @@
 	PriorityReport
 )
 
-// reserved is the share of the bucket that a priority leaves for the more
-// urgent ones.
-var reserved = [...]float64{0, 0.1, 0.3, 0.5}
+// reservedShare is the share of the burst that calls of a priority leave to more urgent ones.
+var reservedShare = [...]float64{0, 0.1, 0.3, 0.5}
 
-// Bucket is a token bucket with priorities: a less urgent use finds it empty
-// while a share is still left for the more urgent ones.
+// Bucket is a token bucket with priorities: less urgent calls are refused while some tokens are left
+// for more urgent ones.
 type Bucket struct {
-	mu    sync.Mutex
-	lim   *rate.Limiter
-	burst float64
+	mu      sync.Mutex
+	limiter *rate.Limiter
+	burst   float64
 }
 
-// NewBucket returns a bucket of perSecond calls with the given burst.
+// NewBucket returns a bucket that allows perSecond calls a second with the given burst.
 func NewBucket(perSecond float64, burst int) *Bucket {
-	return &Bucket{lim: rate.NewLimiter(rate.Limit(perSecond), burst), burst: float64(burst)}
+	return &Bucket{limiter: rate.NewLimiter(rate.Limit(perSecond), burst), burst: float64(burst)}
 }
 
-// Take takes one token for a use of priority p and reports whether it could.
+// Take takes one token for a call of priority p, and reports whether there was one.
 func (b *Bucket) Take(now time.Time, p Priority) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.lim.TokensAt(now) < 1+reserved[p]*b.burst {
+	if b.limiter.TokensAt(now) < 1+reservedShare[p]*b.burst {
 		return false
 	}
-	return b.lim.AllowN(now, 1)
+	return b.limiter.AllowN(now, 1)
 }
 
-// Limited is a Table whose calls pass a Bucket at one priority.
+// Limited is a Table that is rate-limited by a Bucket at one priority.
 type Limited struct {
 	Table    Table
 	Bucket   *Bucket
 	Priority Priority
-	Timeout  time.Duration // bound of one call; zero for none
+	Timeout  time.Duration // timeout of one call; zero for none
 }
 
-func (l Limited) begin(ctx context.Context) (context.Context, context.CancelFunc, error) {
+func (l Limited) acquire(ctx context.Context) (context.Context, context.CancelFunc, error) {
 	if !l.Bucket.Take(time.Now(), l.Priority) {
 		return nil, nil, ErrLimited
 	}
@@ -69,7 +68,7 @@
 
 // Get implements Table.
 func (l Limited) Get(ctx context.Context, k Key) (Item, error) {
-	ctx, cancel, err := l.begin(ctx)
+	ctx, cancel, err := l.acquire(ctx)
 	if err != nil {
 		return Item{}, err
 	}
@@ -79,7 +78,7 @@
 
 // Query implements Table.
 func (l Limited) Query(ctx context.Context, part, after string, limit int) ([]Item, error) {
-	ctx, cancel, err := l.begin(ctx)
+	ctx, cancel, err := l.acquire(ctx)
 	if err != nil {
 		return nil, err
 	}
@@ -89,7 +88,7 @@
 
 // Write implements Table.
 func (l Limited) Write(ctx context.Context, nonce string, writes ...Write) error {
-	ctx, cancel, err := l.begin(ctx)
+	ctx, cancel, err := l.acquire(ctx)
 	if err != nil {
 		return err
 	}
--- a/seam/network.go
+++ b/seam/network.go
@@ -13,28 +13,28 @@
 	"golang.org/x/sys/unix"
 )
 
-// Network opens connections. Tests in virtual time bring one in memory.
+// Network opens connections. Tests in virtual time use an in-memory implementation.
 type Network interface {
 	Listen(address string) (net.Listener, error)
 	Dial(ctx context.Context, network, address string) (net.Conn, error)
 }
 
-// TCP is the ordinary Network.
+// TCP is the Network of the operating system.
 type TCP struct {
-	DialTimeout   time.Duration // 0 for dialLimit
-	SilentTimeout time.Duration // how long sent bytes may stay unacknowledged; 0 for the system's own
+	DialTimeout   time.Duration // 0 for defaultDialTimeout
+	SilentTimeout time.Duration // how long sent bytes may stay unacknowledged; 0 for the system's default
 }
 
-// dialLimit bounds how long a connection may take to open: within a partner's
-// zones it takes a few milliseconds.
-const dialLimit = 2 * time.Second
+// defaultDialTimeout is the time limit to open a connection, which takes a few milliseconds within a
+// partner's zones.
+const defaultDialTimeout = 2 * time.Second
 
 // Listen implements Network.
 func (TCP) Listen(address string) (net.Listener, error) { return net.Listen("tcp", address) }
 
 // Dial implements Network.
 func (t TCP) Dial(ctx context.Context, network, address string) (net.Conn, error) {
-	d := net.Dialer{Timeout: dialLimit}
+	d := net.Dialer{Timeout: defaultDialTimeout}
 	if t.DialTimeout > 0 {
 		d.Timeout = t.DialTimeout
 	}
@@ -45,20 +45,19 @@
 	return d.DialContext(ctx, network, address)
 }
 
-// setUserTimeout bounds how long sent bytes may stay unacknowledged.
+// setUserTimeout limits the time that sent bytes may stay unacknowledged.
 func setUserTimeout(c syscall.RawConn, d time.Duration) error {
-	var failed error
+	var optErr error
 	err := c.Control(func(fd uintptr) {
-		failed = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(d.Milliseconds()))
+		optErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(d.Milliseconds()))
 	})
 	if err != nil {
-		return errors.Wrap(err, "seam: socket")
+		return errors.Wrap(err, "seam: access socket")
 	}
-	return errors.Wrap(failed, "seam: user timeout")
+	return errors.Wrap(optErr, "seam: set TCP_USER_TIMEOUT")
 }
 
-// HTTPClient returns a client over a Network. Its calls end after the timeout,
-// zero for none.
+// HTTPClient returns an HTTP client over a Network. Its calls end after the timeout, 0 for none.
 func HTTPClient(n Network, timeout time.Duration) *http.Client {
 	return &http.Client{Timeout: timeout, Transport: &http.Transport{
 		DialContext: n.Dial, MaxIdleConnsPerHost: 64, IdleConnTimeout: 90 * time.Second, DisableCompression: true,
--- a/seam/table.go
+++ b/seam/table.go
@@ -8,24 +8,23 @@
 	"github.com/pkg/errors"
 )
 
-// Errors of the seams. Every other error leaves open whether a write took
-// effect.
+// Errors of this package's interfaces. After any other error of a write it is unknown whether the
+// write took effect.
 var (
-	// ErrConflict says that a condition did not hold; nothing was written.
-	ErrConflict = errors.New("seam: condition does not hold")
-	// ErrLimited says that the client-side rate limit kept the call back;
-	// nothing was sent.
-	ErrLimited = errors.New("seam: over the rate limit")
+	// ErrConflict says that a condition was not met; nothing was written.
+	ErrConflict = errors.New("seam: condition not met")
+	// ErrLimited says that the client-side rate limiter refused the call; nothing was sent.
+	ErrLimited = errors.New("seam: rate limit exceeded")
 	// ErrNotFound says that the object does not exist.
 	ErrNotFound = errors.New("seam: not found")
 )
 
-// Ambiguous reports whether err leaves open if the write took effect.
+// Ambiguous reports whether the write that returned err may have taken effect.
 func Ambiguous(err error) bool {
 	return err != nil && !errors.Is(err, ErrConflict) && !errors.Is(err, ErrLimited)
 }
 
-// Key names an item: a partition and a sort key within it.
+// Key identifies an item: a partition and a sort key within it.
 type Key struct {
 	Part string
 	Sort string
@@ -34,16 +33,16 @@
 // Item is a stored value.
 type Item struct {
 	Key   Key
-	Rev   int64  // grows with each write of the item, from 1
-	Nonce string // names the write that made this revision
+	Rev   int64  // increases with each write of the item, from 1
+	Nonce string // identifies the write that made this revision
 	Value []byte
 }
 
-// Write is one conditional change: it holds only if the item is absent
-// (Rev 0) or has revision Rev.
+// Write is one conditional change: it applies only if the item has revision Rev, or does not exist
+// and Rev is 0.
 type Write struct {
 	Key    Key
-	Rev    int64 // revision the item must have; 0 for absent
+	Rev    int64 // expected revision; 0 if the item must not exist
 	Value  []byte
 	Delete bool
 }
@@ -55,22 +54,21 @@
 	// Query returns the items of a partition whose sort key is greater than
 	// after, in ascending order, at most limit.
 	Query(ctx context.Context, part, after string, limit int) ([]Item, error)
-	// Write applies all writes or none. The nonce names the attempt: the
-	// same nonce sent again has one effect.
+	// Write applies all writes or none. The nonce identifies the attempt: the same nonce sent again
+	// has one effect.
 	Write(ctx context.Context, nonce string, writes ...Write) error
 }
 
-// Put writes one item and settles a lost answer: when the error leaves the
-// effect open it reads the item again and compares the nonce. It returns nil
-// if the write stands, ErrConflict if another one does, and an Ambiguous
-// error if the table cannot tell.
+// Put writes one item and resolves lost answers: if the write may have taken effect, it reads the
+// item again and compares the nonce. It returns nil if its write took effect, ErrConflict if another
+// one did, and an Ambiguous error if the table cannot be read.
 func Put(ctx context.Context, t Table, nonce string, w Write) error {
 	err := t.Write(ctx, nonce, w)
 	if !Ambiguous(err) && !errors.Is(err, ErrConflict) {
 		return err
 	}
-	// A conflict may be our own earlier write, when a lower layer sent it
-	// twice and only the first answer was lost.
+	// The conflict may be with this write, if a lower layer sent it twice and the answer to the
+	// first was lost.
 	it, rerr := t.Get(ctx, w.Key)
 	switch {
 	case rerr == nil && it.Nonce == nonce:
