--- a/request/backlog.go
+++ b/request/backlog.go
@@ -12,50 +12,48 @@
 	"streambend.example/mechanism"
 )
 
-// Part is a piece of a prompt; the pieces before the last are shared between
-// requests and stay in an engine's cache.
+// Part is a segment of a prompt. All segments but the last are shared between requests and stay in an
+// engine's prefix cache.
 type Part struct {
 	ID     uint64 `codec:"i"`
 	Tokens int    `codec:"t"`
 }
 
 const (
-	// cacheParts bounds how many parts are remembered of an engine, at about
-	// 100 bytes each.
+	// cacheParts is the maximum number of cached parts tracked per engine, at about 100 bytes each.
 	cacheParts = 512
-	// cacheShare is the part of an engine's memory that is taken to hold shared
-	// parts; requests that run need the rest.
+	// cacheShare is the assumed share of an engine's KV memory that caches shared parts; running requests
+	// use the rest.
 	cacheShare = 0.7
-	// paceWeight is the weight of one sample of an engine's own pace, and
-	// paceLeast and paceMost bound that pace against odd samples.
+	// paceWeight is the weight of one sample in an engine's pace; paceLeast and paceMost bound the samples
+	// against outliers.
 	paceWeight = 0.1
 	paceLeast  = 0.5
 	paceMost   = 8
 )
 
-// Backlog is what is known of the prompts that an engine has still to read and
-// of the parts that it keeps. It is modelled from what the daemons have sent
-// there, since an engine's own report is old on arrival.
+// Backlog estimates the pending prefill work of an engine and the parts in its prefix cache. It is modelled
+// from what the daemons have sent there, since an engine's own report is stale on arrival.
 type Backlog struct {
 	cost *ReadCost // of the service's engines
 
 	mu     sync.Mutex
-	left   time.Duration // of reading at the moment at
+	left   time.Duration // pending prefill time at the time at
 	at     time.Time
-	added  time.Duration // of reading ever added
-	pace   float64       // time that the engine takes, as a multiple of the service's
+	added  time.Duration // prefill time added in total
+	pace   float64       // the engine's prefill time relative to the service's
 	parts  *simplelru.LRU[uint64, int]
-	kept   int // tokens of the parts remembered
-	memory int // tokens that may be kept; 0 for no bound
+	kept   int // tokens of the tracked parts
+	memory int // capacity for cached tokens; 0 for no bound
 }
 
 func newBacklog(cost *ReadCost, memory int) *Backlog {
 	b := &Backlog{cost: cost, pace: 1, memory: int(cacheShare * float64(memory))}
-	b.parts, _ = simplelru.NewLRU(cacheParts, func(_ uint64, tokens int) { b.kept -= tokens }) // the size is above 0
+	b.parts, _ = simplelru.NewLRU(cacheParts, func(_ uint64, tokens int) { b.kept -= tokens }) // fails only for a size below 1
 	return b
 }
 
-// Left returns how long the engine reads what it has.
+// Left returns the pending prefill time of the engine.
 func (b *Backlog) Left(now time.Time) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -63,7 +61,7 @@
 	return b.left
 }
 
-// drain brings the backlog up to now; the caller holds the lock.
+// drain subtracts the time passed since the last update; the caller holds the lock.
 func (b *Backlog) drain(now time.Time) {
 	if dt := now.Sub(b.at); dt > 0 {
 		b.left = max(0, b.left-dt)
@@ -71,7 +69,7 @@
 	}
 }
 
-// Done returns how long the engine has read in all.
+// Done returns the total prefill time that the engine has completed.
 func (b *Backlog) Done(now time.Time) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -79,17 +77,17 @@
 	return b.added - b.left
 }
 
-// Reading is an engine's state towards one prompt.
+// Reading is the estimated prefill of one prompt at an engine.
 type Reading struct {
-	Wait   time.Duration // until it begins to read the prompt
-	Own    time.Duration // to read what it has not kept of it
-	Start  time.Duration // from then to the first event
-	Fresh  int           // tokens that it has not kept
-	Shared int           // those of them that other requests share
-	Held   time.Duration // the longest pause of the streams that run beside
+	Wait   time.Duration // until prefill begins
+	Own    time.Duration // prefill of the tokens that are not cached
+	Start  time.Duration // from the end of prefill to the first event
+	Fresh  int           // tokens that are not cached
+	Shared int           // the part of Fresh that other requests share
+	Held   time.Duration // longest pause that the prefill causes in concurrent streams
 }
 
-// Read returns how long a prompt takes to be read at the engine.
+// Read estimates the prefill of a prompt at the engine.
 func (b *Backlog) Read(now time.Time, parts []Part) Reading {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -113,17 +111,17 @@
 	return r
 }
 
-// Mark names a prompt's place in the backlog.
+// Mark is the position of a prompt in the backlog.
 type Mark struct {
-	added time.Duration // up to and with the prompt
-	alone bool          // nothing was ahead of it
+	added time.Duration // prefill time added up to and including the prompt
+	alone bool          // the backlog was empty before it
 	own   time.Duration
 	fresh int
 	total int
 	at    time.Time
 }
 
-// Add takes in that a prompt of so many tokens in all was sent to the engine.
+// Add records that a prompt was sent to the engine, with fresh of its total tokens not cached there.
 func (b *Backlog) Add(now time.Time, fresh, total int, shared []Part) Mark {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -140,10 +138,10 @@
 	return m
 }
 
-// keep remembers a shared part; the caller holds the lock.
+// keep records a shared part as cached; the caller holds the lock.
 func (b *Backlog) keep(p Part) {
 	if b.parts.Contains(p.ID) {
-		b.parts.Get(p.ID) // it was used
+		b.parts.Get(p.ID) // marks it as recently used
 		return
 	}
 	b.parts.Add(p.ID, p.Tokens)
@@ -153,8 +151,9 @@
 	}
 }
 
-// Begun takes in that the engine has read a prompt to its end: all that was
-// sent before is read as well.
+// Begun records that the engine has finished the prefill of a prompt, and thus of all prompts sent before
+// it. If the prompt was alone there, its time is a sample of the engine's pace and of the service's prefill
+// cost.
 func (b *Backlog) Begun(now time.Time, m Mark) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -174,7 +173,7 @@
 	b.pace += paceWeight * (sample - b.pace)
 }
 
-// Dropped takes in that a prompt will not be read after all.
+// Dropped removes a prompt that the engine will not process.
 func (b *Backlog) Dropped(now time.Time, m Mark) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -182,18 +181,18 @@
 	b.left = max(0, b.left-m.own)
 }
 
-// Sent is a prompt that a daemon has sent to an engine, as it tells the others.
+// Sent announces to other daemons that a prompt was sent to an engine.
 type Sent struct {
-	Endpoint uint64 `codec:"e"` // the hash of the engine's name
-	Fresh    int    `codec:"f"` // tokens that the engine has to read
+	Endpoint uint64 `codec:"e"` // Endpoint.Hash of the engine
+	Fresh    int    `codec:"f"` // tokens not cached at the engine
 	Total    int    `codec:"t"` // tokens of the whole prompt
-	Out      int    `codec:"o"` // tokens expected of the answer
-	Parts    []Part `codec:"p"` // the shared ones
+	Out      int    `codec:"o"` // expected tokens of the answer
+	Parts    []Part `codec:"p"` // the shared parts
 }
 
-// Send counts a prompt that is sent to the engine, which has to read so many of its
-// tokens and is to answer with so many. It returns the prompt's place there and the word
-// for other daemons.
+// Send records a prompt sent to the engine, of which fresh tokens are not cached there and whose answer is
+// expected to have out tokens. It returns the prompt's position in the backlog and the announcement for
+// other daemons.
 func (t *Target) Send(now time.Time, fresh int, parts []Part, out int) (Mark, Sent) {
 	s := Sent{Endpoint: t.hash, Fresh: fresh, Parts: parts[:len(parts)-1], Out: out}
 	for _, p := range parts {
@@ -204,17 +203,17 @@
 	return m, s
 }
 
-// Begun takes in that the engine has begun to answer a prompt.
+// Begun records that the engine has begun to answer a prompt.
 func (t *Target) Begun(now time.Time, m Mark) { t.backlog.Begun(now, m) }
 
-// ReadingDone returns how long the engine has read prompts in all: what it reads while an answer is
-// under way holds that up.
+// ReadingDone returns the total prefill time that the engine has completed: prefill during an answer delays
+// that answer.
 func (t *Target) ReadingDone(now time.Time) time.Duration { return t.backlog.Done(now) }
 
-// Dropped takes in that a prompt will not be read after all.
+// Dropped records that the engine will not process a prompt.
 func (t *Target) Dropped(now time.Time, m Mark) { t.backlog.Dropped(now, m) }
 
-// HearSent takes in a prompt that another daemon has sent.
+// HearSent records a prompt that another daemon has sent.
 func (w *Works) HearSent(now time.Time, s Sent) {
 	for _, k := range w.All() {
 		if t := k.Pool.view().byHash[s.Endpoint]; t != nil {
@@ -229,38 +228,36 @@
 }
 
 const (
-	// rereadWeight is by how much reading a shared part again counts beyond its
-	// time: it is paid for, and takes the place of another part.
+	// rereadWeight is the extra weight of recomputing a shared part beyond its time: it costs money and
+	// evicts another part.
 	rereadWeight = 1.0
-	// heldShare is the share of the longest pause in time that reading a prompt
-	// may cause to the streams beside it.
+	// heldShare is the share of the longest tolerated pause that a prompt's prefill may cause in
+	// concurrent streams.
 	heldShare = 0.8
-	// heldCost is what making one stream late counts, as time. At twice that, 0.85 of
-	// the long prompts in place of 0.82 were in time on 85 nearly full engines of a
-	// played load, and as many on 120; on 9 engines of 64 places a day of the highest
-	// load earned 0.02 less (three seeds).
+	// heldCost is the cost of making one stream late, in seconds. Twice the value puts 0.85 instead of 0.82
+	// of the long prompts in time on 85 nearly full simulated engines, and changes nothing on 120, but loses
+	// 0.02 of the earnings of a day of peak load on 9 engines of 64 slots.
 	heldCost = 0.15
-	// laneShare is the part of the engines to which prompts go that would hold
-	// the others up, and laneCost what keeps other prompts away from them.
+	// laneShare is the share of the engines set apart for prompts whose prefill delays other streams;
+	// laneCost is the penalty in seconds for other prompts there.
 	laneShare = 0.2
 	laneCost  = 0.1
-	// laneLeast is from how many engines on some are set apart.
+	// laneLeast is the minimum number of engines at which some are set apart.
 	laneLeast = 4
-	// laneMemory is how long after the last such prompt they stay set apart.
+	// laneMemory is how long engines stay set apart after the last such prompt.
 	laneMemory = 20 * time.Second
 )
 
-// homeHit is how likely the first endpoints in a prompt's order are to keep its
-// shared parts although nothing is known of it here: all daemons have the same
-// order, and prefer the first. Where each knows what all have sent, it only makes
-// the endpoints less evenly used (0.44 of the worth for 0.49 on a quiet day of nine
-// engines).
+// homeHit is the probability that the first endpoints in a prompt's rendezvous order cache its shared parts
+// although this daemon does not know it: all daemons share the order and prefer the first ones. If daemons
+// know what the others have sent, it only makes the load less even (0.44 instead of 0.49 of the worth on a
+// quiet day of nine engines).
 var homeHit = [...]float64{0.7, 0.3}
 
-// tieBreak spreads prompts over endpoints that are as good, in seconds.
+// tieBreak is the range, in seconds, of the random term that spreads prompts over equally good endpoints.
 const tieBreak = 0.004
 
-// homes are the first endpoints in the order of a prompt's shared head.
+// homes are the first endpoints in the rendezvous order of a prompt's shared prefix.
 type homes [len(homeHit)]*Target
 
 func homesOf(l *poolList, n Need) homes {
@@ -286,7 +283,7 @@
 	return h
 }
 
-// place returns an endpoint's place among the homes, or -1.
+// place returns an endpoint's index in the homes, or -1.
 func (h homes) place(t *Target) int {
 	for i, x := range h {
 		if x == t {
@@ -296,9 +293,9 @@
 	return -1
 }
 
-// choosePrompt takes the endpoint at which the prompt is read soonest, with a
-// preference for one that keeps its shared parts. A prompt whose reading would
-// hold up the streams that run beside it goes where few of them run.
+// choosePrompt chooses the endpoint with the earliest expected first event, with a preference for one that
+// caches the shared parts. A prompt whose prefill would delay concurrent streams is sent where few of them
+// run.
 func (p *Pool) choosePrompt(now time.Time, l *poolList, n Need) (Choice, bool) {
 	var c Choice
 	best := math.Inf(1)
@@ -351,32 +348,32 @@
 	return c, c.Target != nil
 }
 
-// heldAt returns when a prompt was last seen that holds others up.
+// heldAt returns when a prompt that delays other streams was last routed.
 func (p *Pool) heldAt() time.Time { return time.Unix(0, p.held.Load()) }
 
 func (p *Pool) holdsUp(now time.Time) { p.held.Store(now.UnixNano()) }
 
-// running estimates how many requests run at the endpoint.
+// running estimates the number of requests at the endpoint.
 func (t *Target) running(now time.Time) int {
 	return max(int(t.load.Load()), int(t.mine.Load())+t.places.Taken(now))
 }
 
-// placesFor returns how many places the engine has for the requests of other daemons.
+// placesFor returns how many of the engine's slots are left for requests of other daemons.
 func (t *Target) placesFor(without mechanism.Set) int {
 	if !without.On(mechanism.PlaceQueue) {
-		return math.MaxInt // what waits is not told from what runs
+		return math.MaxInt // waiting requests are not modelled apart from running ones
 	}
 	return t.slots() - int(t.mine.Load())
 }
 
-// slots returns how many requests the endpoint runs together.
+// slots returns the concurrency of the endpoint.
 func (t *Target) slots() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.batch
 }
 
-// slotWait estimates how long a request waits for a place at the endpoint.
+// slotWait estimates how long a request waits for a slot at the endpoint.
 func (t *Target) slotWait(now time.Time, n Need) time.Duration {
 	batch := t.slots()
 	wait := t.places.Wait(now, batch-int(t.mine.Load()))
--- a/request/budget.go
+++ b/request/budget.go
@@ -8,35 +8,35 @@
 	"time"
 )
 
-// Retries bounds how often the requests of a service are sent again.
+// Retries is the retry budget of a service.
 type Retries interface {
-	// First counts a request that is sent for the first time.
+	// First counts the first attempt of a request.
 	First(now time.Time)
-	// Earn counts a whole answer.
+	// Earn counts a complete answer.
 	Earn()
-	// Left reports whether one more is allowed.
+	// Left reports whether one more retry is allowed.
 	Left(now time.Time) bool
-	// TakeSpare takes one for a request that may still be answered where it is, and reports
+	// TakeSpare spends one retry on a request that its current endpoint may still answer, and reports
 	// whether that is allowed.
 	TakeSpare(now time.Time) bool
-	// Spend takes one.
+	// Spend spends one retry.
 	Spend(now time.Time)
 }
 
-// Budget bounds retries to a share of the successes, so that a wave of
-// failures does not multiply the load.
+// Budget is a token bucket that limits retries to a share of the successes, so that many failures at once
+// do not multiply the load.
 type Budget struct {
 	mu     sync.Mutex
 	tokens float64
 }
 
 const (
-	budgetShare = 0.2
-	budgetMost  = 100
-	budgetStart = 20
+	budgetShare = 0.2 // tokens per success
+	budgetMost  = 100 // capacity in tokens
+	budgetStart = 20  // initial tokens
 )
 
-// NewBudget returns a budget with something to begin with.
+// NewBudget returns a budget with its initial tokens.
 func NewBudget() *Budget { return &Budget{tokens: budgetStart} }
 
 // First implements Retries; only successes count here.
@@ -65,50 +65,50 @@
 	return true
 }
 
-// Spend takes one retry.
+// Spend implements Retries.
 func (b *Budget) Spend(time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.tokens = math.Max(0, b.tokens-1)
 }
 
-// RetryBound is a bound on the retries of a service over all daemons: in each
-// Window a share Ratio of its requests and Slack more.
+// RetryBound bounds the retries of a service over all daemons: in each Window at most Ratio times its
+// requests, plus Slack.
 type RetryBound struct {
 	Ratio   float64
 	Window  time.Duration
 	Slack   float64
-	Daemons func() int // that share the slack
+	Daemons func() int // number of daemons that share the slack
 }
 
-// slackUsed is the part of the slack that is used: daemons that start again
-// have forgotten what they spent, and the others' number lags.
+// slackUsed is the share of the slack that is used: a restarted daemon does not know what it has spent, and
+// the number of daemons is known with a delay.
 const slackUsed = 0.6
 
-// spareShare is the part of the retries that requests may take which are still under way
-// somewhere. The rest is for streams whose endpoint ends: engines that were all slow as a zone was
-// reclaimed had taken all retries, and of 30 streams under way none was taken up elsewhere.
+// spareShare is the share of the retries for requests that are still in flight at an endpoint. The rest is
+// reserved for streams whose endpoint ends: without it, slow engines during the reclaim of a zone used up all
+// retries, and none of 30 interrupted streams was resumed.
 const spareShare = 0.5
 
-// windowSteps is how finely a window is cut.
+// windowSteps is the number of buckets of the sliding window.
 const windowSteps = 10
 
-// WindowBudget keeps a RetryBound by this daemon's part of it: the ratio of its
-// own requests, and an even share of the slack.
+// WindowBudget enforces this daemon's part of a RetryBound over a sliding window: the ratio of its own
+// requests, and an even share of the slack.
 type WindowBudget struct {
 	bound RetryBound
 
 	mu      sync.Mutex
-	step    int64
+	step    int64 // current bucket, counted from the Unix epoch
 	firsts  [windowSteps + 1]int
 	repeats [windowSteps + 1]int
 }
 
-// NewWindowBudget returns a budget that has seen no request.
+// NewWindowBudget returns a budget with an empty window.
 func NewWindowBudget(b RetryBound) *WindowBudget { return &WindowBudget{bound: b} }
 
-// advance forgets the steps that have left the window; the caller holds the
-// lock.
+// advance clears the buckets that have left the window and returns the index of the current one; the caller
+// holds the lock.
 func (b *WindowBudget) advance(now time.Time) int {
 	step := now.UnixNano() / int64(b.bound.Window/windowSteps)
 	gone := min(step-b.step, windowSteps+1)
@@ -150,8 +150,8 @@
 	return true
 }
 
-// within reports whether one more is within a part of what is allowed; the caller holds the lock. The
-// oldest step may lie partly before the window: its repeats count, its requests allow no more.
+// within reports whether one more retry stays within a share of the bound; the caller holds the lock. The
+// oldest bucket may lie partly before the window: its retries count, its requests do not.
 func (b *WindowBudget) within(part float64) bool {
 	firsts, repeats := 0, 0
 	oldest := int((b.step + 1) % (windowSteps + 1))
--- a/request/budget_test.go
+++ b/request/budget_test.go
@@ -11,14 +11,10 @@
 	"streambend.example/request"
 )
 
-// What callers saw: nothing; as all engines of a service turned requests away, daemons together sent more
-// repeats than the bound allows, 346 in 10 s of 340 allowed.
-//
-// Order of events: 142 requests a second at an even rate, then each of them is turned away and sent again until
-// nothing is left; all repeats fall into two seconds.
-//
-// Cause: the requests that allow repeats were counted over 11 steps of a second, of which a window has 10.
-// Evidence: 1,428 requests in the fullest window, and 344 repeats allowed by 1,562 of 11 s.
+// Guards against more retries in a window than the bound allows (346 instead of 340 in 10 s). It happened
+// when all engines rejected a steady load of 142 requests per second and all retries fell into two seconds:
+// the requests that allow retries were counted over 11 one-second buckets (1,562 requests) instead of the
+// window's 10 (1,428).
 func TestRepeatsOfABurstStayWithinTheirBound(t *testing.T) {
 	const (
 		daemons   = 7
@@ -41,7 +37,7 @@
 			}
 		}
 		requests := daemons * perSecond * window.Seconds()
-		assert.LessOrEqual(t, float64(repeats), ratio*requests+slack, "%s into a step", offset)
-		assert.GreaterOrEqual(t, float64(repeats), ratio*requests, "%s into a step", offset)
+		assert.LessOrEqual(t, float64(repeats), ratio*requests+slack, "%s into a bucket", offset)
+		assert.GreaterOrEqual(t, float64(repeats), ratio*requests, "%s into a bucket", offset)
 	}
 }
--- a/request/endpoint.go
+++ b/request/endpoint.go
@@ -9,22 +9,22 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Endpoint is what is known of an endpoint from the box list.
+// Endpoint describes an endpoint, as listed.
 type Endpoint struct {
 	ID          string // the box
-	Born        int64  // of this start, Unix milliseconds; 0 if not known
+	Born        int64  // start of this instance in Unix milliseconds; 0 if not known
 	Service     string // partner/name
 	Version     string // of its software
 	Zone        string
 	Address     string // host:port
 	Reclaimable bool
-	Slots       int       // requests that it runs together; 0 if not known
-	Memory      int       // tokens that an engine keeps; 0 if not known
-	SlowUntil   time.Time // it is slow from its start until then; zero if it is not
+	Slots       int       // concurrency; 0 if not known
+	Memory      int       // KV memory of an engine in tokens; 0 if not known
+	SlowUntil   time.Time // end of its warm-up, while it is slow; zero for none
 }
 
-// Start names the start of an endpoint: what was told of an earlier one, such as the prompts that
-// it keeps or that it has ended, is not taken for the present one's.
+// Start identifies the instance (the process start) of the endpoint, so that facts about an earlier
+// instance, such as the prompts it caches or that it has ended, are not applied to the current one.
 func (e Endpoint) Start() string {
 	if e.Born == 0 {
 		return e.ID
@@ -32,5 +32,5 @@
 	return e.ID + "#" + strconv.FormatInt(e.Born, 10)
 }
 
-// Hash names the start of an endpoint in few bytes.
+// Hash returns a compact identifier of the endpoint's instance.
 func (e Endpoint) Hash() uint64 { return xxhash.Sum64String(e.Start()) }
--- a/request/limit.go
+++ b/request/limit.go
@@ -8,27 +8,25 @@
 	"time"
 )
 
-// Limiter finds how many requests of a service this daemon may have at the
-// endpoints at once. It grows while first tokens come in time and shrinks
-// when they do not, so that the daemons, without a word between them, come to
-// shares of what the endpoints carry and the waiting happens in the fair
-// queues.
+// Limiter is an adaptive concurrency limit (AIMD) on the requests of a service that this daemon has at the
+// endpoints. It grows while first tokens arrive in time and shrinks when they do not, so that the daemons
+// converge on shares of the endpoints' capacity without coordination, and requests wait in the fair queues.
 type Limiter struct {
 	mu      sync.Mutex
 	limit   float64
 	most    float64
 	target  time.Duration
-	base    time.Duration // a first token's time on an idle endpoint
+	base    time.Duration // time to first token at an idle endpoint
 	lastCut time.Time
 }
 
 const (
 	limitLeast   = 2
-	limitShrink  = 0.85
-	limitGrowth  = 1.0 // per limit answers in time
-	cutSpacing   = 500 * time.Millisecond
-	targetShare  = 0.25 // of the target that waiting at an endpoint may take
-	baseMultiple = 3    // of the base that waiting may take where that is more
+	limitShrink  = 0.85                   // factor of a decrease
+	limitGrowth  = 1.0                    // increase per as many timely answers as the limit
+	cutSpacing   = 500 * time.Millisecond // minimum time between decreases
+	targetShare  = 0.25                   // share of the target allowed for the wait at an endpoint
+	baseMultiple = 3                      // multiple of the base allowed for that wait, if longer
 )
 
 // NewLimiter returns a limiter that starts at the given limit.
@@ -36,8 +34,8 @@
 	return &Limiter{limit: float64(max(start, limitLeast)), most: math.Inf(1), target: target}
 }
 
-// SetCapacity tells what all endpoints together run, and for how many daemons.
-// It bounds the limit; the first time, the limit starts at an even share.
+// SetCapacity sets the total concurrency of all endpoints, which bounds the limit. At the first call, the
+// limit starts at this daemon's even share.
 func (l *Limiter) SetCapacity(batch, daemons int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -48,22 +46,22 @@
 	l.limit = math.Min(l.limit, l.most)
 }
 
-// Fix sets the limit for good, for comparison with one that adapts.
+// Fix sets a constant limit, for comparison with the adaptive one.
 func (l *Limiter) Fix(limit int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.limit, l.most = float64(limit), float64(limit)
 }
 
-// Allowed returns how many requests may be at the endpoints.
+// Allowed returns the current limit.
 func (l *Limiter) Allowed() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return int(l.limit)
 }
 
-// Sample takes in how long an endpoint took to begin an answer, beyond what
-// computing its prompt takes, while running requests were there.
+// Sample updates the limit from the time that an endpoint took to begin an answer, without the prompt's
+// prefill, while running requests were at the endpoints.
 func (l *Limiter) Sample(now time.Time, took time.Duration, running int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -82,7 +80,7 @@
 	l.shrink(now)
 }
 
-// Overload takes in that an endpoint refused work.
+// Overload decreases the limit after an endpoint refused work.
 func (l *Limiter) Overload(now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -97,20 +95,20 @@
 	l.limit = math.Max(limitLeast, l.limit*limitShrink)
 }
 
-// Speed keeps measured speeds of a service as moving averages.
+// Speed holds moving averages of the speed of a service.
 type Speed struct {
 	mu      sync.Mutex
 	token   float64 // seconds between two tokens
-	first   float64 // seconds to the first token beyond the prompt's
-	prefill float64 // prompt tokens a second
+	first   float64 // seconds to the first token without prefill
+	prefill float64 // prompt tokens per second
 	whole   float64 // seconds of a plain call
-	wholes  int     // plain calls that whole is made of, up to usualAfter
+	wholes  int     // plain calls in whole, up to usualAfter
 }
 
 const (
 	speedWeight = 0.05
-	// usualAfter is how many plain calls tell what is usual: below it the mean of
-	// all counts, above it the newest with speedWeight.
+	// usualAfter is the number of plain calls before Pace returns their mean. Up to it whole is the plain
+	// mean, beyond it a moving average with speedWeight.
 	usualAfter = int(1 / speedWeight)
 )
 
@@ -122,7 +120,7 @@
 	*avg += speedWeight * (v - *avg)
 }
 
-// Answered takes a whole answer in.
+// Answered records a complete answer; fresh is the number of prompt tokens that were not cached.
 func (s *Speed) Answered(first, total time.Duration, tokens, fresh int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -141,7 +139,7 @@
 	}
 }
 
-// Expect returns how long an answer of so many tokens takes at an endpoint.
+// Expect returns the expected service time of an answer with so many tokens.
 func (s *Speed) Expect(tokens, prompt int) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -155,8 +153,7 @@
 	return time.Duration(sec * float64(time.Second))
 }
 
-// Pace returns the usual time of a token, or of a plain call, or 0 while too few
-// answers tell it.
+// Pace returns the usual time per token, or per plain call; 0 while there are too few answers.
 func (s *Speed) Pace(plain bool) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -169,7 +166,7 @@
 	return time.Duration(s.token * float64(time.Second))
 }
 
-// Prefill returns the measured prompt tokens a second, or 0.
+// Prefill returns the prefill rate in prompt tokens per second, or 0 if not known.
 func (s *Speed) Prefill() float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/request/overload_test.go
+++ b/request/overload_test.go
@@ -11,15 +11,14 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// fewKinds are prompts for which there are not enough engines, as half of them have been
-// reclaimed.
+// fewKinds is a load that exceeds the engines' capacity after half of them have been reclaimed.
 var fewKinds = []kindOf{
 	{"digest", 68, 5382, 6610, 1.4, 54600, 402, 24, 1200 * time.Millisecond, 360 * time.Millisecond, 4.5},
 	{"explain", 155, 198, 628, 1, 3310, 795, 24, 600 * time.Millisecond, 480 * time.Millisecond, 2.3},
 	{"tag", 153, 568, 1800, 1.3, 6870, 908, 2, 800 * time.Millisecond, 270 * time.Millisecond, 0.33},
 }
 
-// value returns the share of the worth that callers get: a late answer is worth a tenth.
+// value returns the share of the total worth that callers receive: a late answer is worth a tenth.
 func (p *placing) value() float64 {
 	got, all := 0.0, 0.0
 	for k, kind := range p.kinds {
@@ -30,12 +29,11 @@
 	return got / all
 }
 
-// Load: as zones are reclaimed there are engines for half of the load, or for four fifths of it; these
-// read prompts between the tokens of what runs. What cannot be answered in time is refused at once,
-// so that the rest is. Share of the worth that callers get, two seeds each over 20 s: with what
-// waits at an engine reckoned to wait behind what others have sent there, 0.22 and 0.25, 0.41 and
-// 0.48; with what runs there reckoned to be held up by what is read as well, 0.32 and 0.36, 0.65 and
-// 0.65. They are to get half of what the engines could do.
+// Guards against an overload in which almost every answer is late: engines for half or four fifths of the
+// load remain, and prefill delays their running streams. Requests that cannot be answered in time must be
+// refused at once. The share of the worth (two seeds, 20 s) is 0.22 and 0.25, 0.41 and 0.48 if routing
+// models only the wait behind other daemons' requests, and 0.32 and 0.36, 0.65 and 0.65 if it also models
+// the delay by prefill. The test requires half of what the engines can deliver.
 func TestTooFewEnginesServeAsManyAsTheyCan(t *testing.T) {
 	const needed = 50
 	for _, engines := range []int{24, 40} {
--- a/request/permit.go
+++ b/request/permit.go
@@ -12,24 +12,24 @@
 	"streambend.example/pace"
 )
 
-// Permits grants requests to endpoints that limit themselves, over all daemons.
+// Permits grants requests to endpoints with an advertised rate limit, over all daemons.
 type Permits interface {
-	// Take asks for one request to an endpoint.
+	// Take requests a permit for one request to an endpoint.
 	Take(ctx context.Context, t *Target) pace.Grant
 }
 
-// permitLife is how long a request that was granted has to be on its way: a box that has slept since
-// asks again.
+// permitLife is how long a permit is valid: a request that a suspended box sends later needs a new one.
 const permitLife = 500 * time.Millisecond
 
-// permit asks whether the request may be sent to the chosen endpoint, if that limits itself.
+// permit reports whether the request may be sent to the chosen endpoint: it takes a permit if the endpoint
+// advertises a rate limit.
 func (r *run) permit(ctx context.Context, c *Choice) bool {
 	s := c.Target.said
 	if r.opts.Permits == nil || !s.bound.Load() {
 		return true
 	}
 	if !s.asking.CompareAndSwap(false, true) {
-		return false // another request asks, and the choice was made just before
+		return false // another request is taking a permit since the choice was made
 	}
 	defer s.asking.Store(false)
 	g := r.opts.Permits.Take(ctx, c.Target)
@@ -38,7 +38,7 @@
 		s.refuse(now, g)
 		if l := r.line(now, logrus.InfoLevel); l != nil {
 			l.WithFields(logrus.Fields{"endpoint": c.Target.ID, "per_second": c.Target.Limit().PerSecond, "wait_ms": g.Wait.Milliseconds()}).
-				Info("passed over: the endpoint is at its limit")
+				Info("endpoint skipped: at its rate limit")
 		}
 		return false
 	}
@@ -48,9 +48,9 @@
 	return true
 }
 
-// atLimits returns the error for a request that no endpoint may be sent now, as each that would take
-// it has said so itself; nil if there is none, or if it is worth waiting for the first. What has been
-// sent already waits, as to be refused would end it.
+// atLimits returns the error for a request that every endpoint declines by its advertised rate limit or
+// rest; nil, and the time to wait, if one will soon accept it or there is no such endpoint. A request that
+// has been sent before always waits, since a refusal would end it.
 func (r *run) atLimits(now time.Time, n Need) (wait time.Duration, err *code.Error) {
 	at, gap, ok := r.work.Pool.FreeAt(now, n)
 	if !ok {
@@ -61,15 +61,16 @@
 		return min(wait, routeWait), nil
 	}
 	back := r.work.Pool.promises.next(now, at, gap).Sub(now)
-	return 0, code.New(code.AtLimits, "no endpoint of %s takes more for %s, as they have said", r.work.Pool.Service, wait.Round(time.Millisecond)).After(back)
+	return 0, code.New(code.AtLimits, "no endpoint of %s accepts more requests for %s, as advertised", r.work.Pool.Service, wait.Round(time.Millisecond)).After(back)
 }
 
-// heed takes in what an answer of the endpoint says of the endpoint itself.
+// heed records the state that the endpoint advertises about itself in an answer.
 func (r *run) heed(t *Target, h AnswerHead) {
 	now, said := r.Now(), h.Said.Believed()
 	r.logBad(t, said.Bad)
 	told := logrus.Fields{}
-	// An answer without an id may come from something before the endpoint, which names no limit.
+	// An answer without an ID may come from a proxy in front of the endpoint, so that a missing limit means
+	// nothing.
 	if said.Limited || !said.Unclear && h.ID != "" {
 		if l, tell := t.NameLimit(said.PerSecond); tell {
 			told["per_second"], told["turn"] = l.PerSecond, l.Turn
@@ -85,18 +86,18 @@
 		return
 	}
 	r.log.WithFields(told).WithFields(logrus.Fields{"endpoint": t.ID, "request": r.r.ID}).
-		Info("the endpoint says of itself")
+		Info("endpoint advertised new state")
 	if r.opts.Said != nil {
 		r.opts.Said(t.Word(now))
 	}
 }
 
-// logBad tells of values that cannot be believed, unless of the same ones just before.
+// logBad logs invalid advertised values, unless the value was the last one logged for its kind.
 func (r *run) logBad(t *Target, bad []pace.Bad) {
 	for _, b := range bad {
 		if t.said.unbelieved(b) {
 			r.log.WithFields(logrus.Fields{"endpoint": t.ID, "value": b.Value, "request": r.r.ID}).
-				Warnf("a %s that the endpoint names cannot be believed: nothing changes", b.What)
+				Warnf("ignored an invalid %s advertised by the endpoint", b.What)
 		}
 	}
 }
--- a/request/places.go
+++ b/request/places.go
@@ -8,18 +8,18 @@
 	"time"
 )
 
-// Places models which places of an engine are taken by requests of other daemons. An
-// engine tells its load only to whoever it answers: among 295 daemons and 80 engines
-// each hears of an engine every half a minute, and a request holds its place for two
-// seconds. The zero value has none taken.
+// Places estimates which slots of an engine are occupied by requests of other daemons. An engine reports
+// its load only in its answers: with 295 daemons and 80 engines, a daemon receives a report of an engine
+// every half minute, while a request occupies its slot for two seconds. In the zero value all slots are
+// free.
 type Places struct {
 	mu   sync.Mutex
-	ends []time.Time // when each is expected to be free, in order
+	ends []time.Time // expected release times of the occupied slots, sorted
 }
 
-// Take notes that a request takes a place for a time, from about a moment on, at an engine that has
-// so many places for the requests of other daemons. While all of them are taken it waits for the
-// next to be free, as those that came before it do.
+// Take records that a request occupies a slot for hold, starting at about from, at an engine with so many
+// slots for requests of other daemons. If all are occupied, it starts when the next is released, after
+// earlier requests.
 func (p *Places) Take(now, from time.Time, hold time.Duration, places int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -32,7 +32,7 @@
 	p.ends = slices.Insert(p.ends, at, until)
 }
 
-// Delay notes that all that runs is held up for a time.
+// Delay postpones the release of all occupied slots.
 func (p *Places) Delay(by time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -41,7 +41,7 @@
 	}
 }
 
-// drop forgets the places that are free by now; the caller holds the lock.
+// drop removes the slots that have been released by now; the caller holds the lock.
 func (p *Places) drop(now time.Time) {
 	free := 0
 	for free < len(p.ends) && !p.ends[free].After(now) {
@@ -50,8 +50,8 @@
 	p.ends = slices.Delete(p.ends, 0, free)
 }
 
-// Told takes in the engine's own word of how many of its places others have: those
-// expected to be free soonest are free already.
+// Told corrects the estimate by the engine's own report of how many slots others occupy: the excess ones,
+// those with the earliest release times, are dropped.
 func (p *Places) Told(now time.Time, taken int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -61,7 +61,7 @@
 	}
 }
 
-// Taken returns how many places others have.
+// Taken returns the number of slots occupied by others.
 func (p *Places) Taken(now time.Time) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -69,7 +69,7 @@
 	return len(p.ends)
 }
 
-// Wait returns how long a request waits for a place, of so many that others may take.
+// Wait returns how long a request waits for a slot, out of so many that others may occupy.
 func (p *Places) Wait(now time.Time, places int) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -79,7 +79,7 @@
 		return 0
 	}
 	if over >= len(p.ends) {
-		return 0 // what runs there is all of this daemon, which knows it better
+		return 0 // this daemon's own requests fill the engine, and it knows those exactly
 	}
 	return p.ends[over].Sub(now)
 }
--- a/request/placing_test.go
+++ b/request/placing_test.go
@@ -22,25 +22,25 @@
 	"streambend.example/version"
 )
 
-// A load that many daemons place on engines of few places, each by what it hears late
-// of the others, in virtual time and without a network.
+// Simulation, in virtual time and without a network, of many daemons that route prompts to engines with few
+// slots, with delayed information about each other's requests.
 
-// kindOf is a kind of prompt.
+// kindOf describes one kind of prompt in a simulated load.
 type kindOf struct {
 	name        string
-	rate        float64 // a second
+	rate        float64 // requests per second
 	shared, own int     // tokens
-	spread      float64 // of the own ones, log-normal; 0 for an exponential spread
-	most        int     // of them, with a log-normal spread
-	heads       int     // shared parts that there are
+	spread      float64 // sigma of the log-normal distribution of own; 0 for an exponential one
+	most        int     // maximum of own, for a log-normal distribution
+	heads       int     // number of distinct shared parts
 	events      int
 	target      time.Duration
-	limit       time.Duration // it is refused if it would wait for longer; 0 for never
-	worth       float64       // of an answer in time
+	limit       time.Duration // refused if it would wait longer; 0 for never
+	worth       float64       // value of an answer in time
 }
 
-// evenKinds are prompts whose own parts have an exponential spread; of tailedKinds some
-// are so long that reading them makes the streams beside them late.
+// The own parts of evenKinds are exponentially distributed; some of tailedKinds are so long that their
+// prefill makes concurrent streams late.
 var (
 	evenKinds = []kindOf{
 		{"digest", 165, 5400, 6600, 0, 0, 1650, 32, 1200 * time.Millisecond, 0, 0},
@@ -57,13 +57,13 @@
 const (
 	deskPlaces = 12
 	deskMemory = 380000
-	deskStep   = 4300 * time.Microsecond // a token of each stream that runs
-	deskEvent  = 12                      // tokens
-	deskChunk  = 4096                    // prompt tokens read between two of them
-	deskPause  = 600 * time.Millisecond  // between events, in time
+	deskStep   = 4300 * time.Microsecond // one token of each running stream
+	deskEvent  = 12                      // tokens per event
+	deskChunk  = 4096                    // prompt tokens processed between two decode steps
+	deskPause  = 600 * time.Millisecond  // longest pause between events that is in time
 )
 
-// job is a prompt on its way.
+// job is a simulated request.
 type job struct {
 	kind   int
 	parts  []request.Part
@@ -72,32 +72,33 @@
 	mark   request.Mark
 	sent   time.Time
 	events int
-	guess  int // tokens of its answer, as its caller has it
+	guess  int // the caller's estimate of the answer's tokens
 	begun  bool
-	late   bool          // its first event, or one after a pause
-	again  bool          // it was refused before
-	began  time.Time     // its answer, with its first event
-	end    time.Time     // of its answer
-	read   time.Duration // that its engine is thought to have read by its first event
+	late   bool          // the first event, or one after a pause, was late
+	again  bool          // it was refused once
+	began  time.Time     // time of the first event
+	end    time.Time     // end of the answer
+	read   time.Duration // the daemon's estimate of its engine's total prefill at the first event
 }
 
-// desk is an engine: it runs deskPlaces requests, reads one prompt at a time, and keeps
-// the shared parts that it has read.
+// desk is a simulated engine: it runs up to deskPlaces requests, prefills one prompt at a time, and caches
+// the shared parts.
 type desk struct {
 	running map[*job]bool
-	free    time.Time // when it has read what it runs
+	free    time.Time // end of the prefill of its running requests
 	queue   []*job
 	kept    *simplelru.LRU[uint64, int]
 	tokens  int
 }
 
-// moment is what happens at a time.
+// moment is a simulated event; seq orders events of the same time.
 type moment struct {
 	at  time.Time
 	seq int
 	do  func(now time.Time)
 }
 
+// agenda is a heap of events ordered by time.
 type agenda struct {
 	list []moment
 	seq  int
@@ -122,22 +123,21 @@
 	heap.Push(a, moment{at, a.seq, do})
 }
 
-// placing plays the load and counts, by kind, the prompts whose first event came in
-// time.
+// placing runs the simulation and counts, by kind, the prompts answered in time.
 type placing struct {
 	rng     *rand.Rand
 	kinds   []kindOf
 	agenda  agenda
 	daemons []*request.Server
 	desks   map[string]*desk
-	warm    time.Time // what was sent before is not counted
+	warm    time.Time // requests sent before are not counted
 	sent    [3]int
 	inTime  [3]int
 	refused [3]int
-	between bool // engines read prompts between the tokens of the streams that run, and hold them up
+	between bool // prefill delays the engine's running streams
 }
 
-// placeOn plays a load on so many engines for a span, whose first two fifths do not count.
+// placeOn simulates a load on so many engines for a span, whose first two fifths are not counted.
 func placeOn(seed uint64, kinds []kindOf, daemons, engines int, span time.Duration) *placing {
 	return (&placing{}).play(seed, kinds, daemons, engines, span)
 }
@@ -182,7 +182,7 @@
 	return p
 }
 
-// own draws the tokens of a prompt that are its own.
+// own draws the number of tokens of a prompt's own part.
 func (p *placing) own(kind kindOf) int {
 	if kind.spread == 0 {
 		return 1 + int(float64(kind.own)*p.rng.ExpFloat64())
@@ -191,7 +191,7 @@
 	return min(1+int(size), kind.most)
 }
 
-// arrive has a daemon place a prompt.
+// arrive creates a prompt at a random daemon.
 func (p *placing) arrive(now time.Time, k int) {
 	kind := p.kinds[k]
 	head := uint64(k)<<32 | uint64(p.rng.IntN(kind.heads))<<1 | 1
@@ -200,10 +200,10 @@
 	p.place(now, j)
 }
 
-// comeBack is when a caller that was refused comes back, once.
+// comeBack is the delay after which a refused caller retries, once.
 const comeBack = 400 * time.Millisecond
 
-// place has a daemon send a prompt to an engine, or refuse it.
+// place routes a prompt at its daemon, or refuses it.
 func (p *placing) place(now time.Time, j *job) {
 	kind, head := p.kinds[j.kind], j.parts[0].ID
 	pool := p.daemons[j.daemon].Works.All()[0].Pool
@@ -240,7 +240,7 @@
 	p.begin(now, e)
 }
 
-// begin has an engine take what waits there into its free places.
+// begin starts an engine's queued prompts in its free slots.
 func (p *placing) begin(now time.Time, e *desk) {
 	for len(e.running) < deskPlaces && len(e.queue) > 0 {
 		j := e.queue[0]
@@ -260,7 +260,7 @@
 		e.free = began.Add(read)
 		for other := range e.running {
 			if p.between && other != j && other.begun {
-				other.end = other.end.Add(read) // no token comes while a chunk is read
+				other.end = other.end.Add(read) // no token is generated during the prefill of a chunk
 			}
 		}
 		if p.kinds[j.kind].spread > 0 {
@@ -269,7 +269,7 @@
 		first := e.free.Add(deskStep)
 		p.agenda.add(first, func(now time.Time) {
 			p.first(now, j)
-			// What is read after this prompt holds its answer up.
+			// Prefill after this prompt delays its answer.
 			j.end = now.Add(time.Duration((j.events-1)*deskEvent) * deskStep)
 			if p.between {
 				j.end = j.end.Add(max(0, e.free.Sub(now)))
@@ -279,7 +279,7 @@
 	}
 }
 
-// last ends an answer, unless it was held up.
+// last completes an answer, unless its end has been postponed.
 func (p *placing) last(now time.Time, e *desk, j *job) {
 	if now.Before(j.end) {
 		p.agenda.add(j.end, func(now time.Time) { p.last(now, e, j) })
@@ -292,14 +292,14 @@
 	p.begin(now, e)
 }
 
-// readTime is how long an engine reads the last fresh tokens of a prompt.
+// readTime returns the simulated prefill time of the last fresh tokens of a prompt.
 func readTime(fresh, total int) time.Duration {
 	pairs := float64(fresh) * (float64(total) - float64(fresh)/2) / 1e6
 	return time.Duration((float64(fresh)/64200 + pairs*0.647e-3) * float64(time.Second))
 }
 
-// holdUp makes the streams beside a prompt late whose reading takes too much of the
-// time between two of their events: a chunk is read at each of the event's tokens.
+// holdUp marks the concurrent streams of a prompt as late if its prefill makes the pause between two of
+// their events too long: one chunk is processed per token of the event.
 func (e *desk) holdUp(j *job, fresh, total int) {
 	pause := readTime(min(fresh, deskEvent*deskChunk), total) + deskEvent*deskStep
 	for other := range e.running {
@@ -325,7 +325,7 @@
 	}
 }
 
-// share returns which share of a kind was in time.
+// share returns the share of a kind that was in time.
 func (p *placing) share(kind string) float64 {
 	k := slices.IndexFunc(p.kinds, func(x kindOf) bool { return x.name == kind })
 	return float64(p.inTime[k]) / float64(p.sent[k])
@@ -338,11 +338,11 @@
 	return b
 }
 
-// Of 60 daemons each hears an engine's own word of its load every few seconds, and of
-// prompts that the others send 15 to 135 ms late; the engines' places are nine tenths
-// full. Prompts wait in time for a place behind others while places are free elsewhere
-// unless daemons reckon with what others hold. Least share in time of the three kinds, by
-// seed: without that 0.92, 0.94, 0.92, and 0.95 or more; with it 0.97, 0.98, 0.98, 0.98.
+// Guards against prompts that queue at one engine while others have free slots. Each of 60 daemons receives
+// an engine's load report every few seconds, and learns of other daemons' prompts 15 to 135 ms late; nine
+// tenths of the slots are occupied. The lowest share in time of the three kinds, by seed, is 0.92, 0.94,
+// 0.92 and 0.95 or more if daemons ignore the slots that others occupy, and 0.97, 0.98, 0.98, 0.98 if they
+// model them.
 func TestPromptsGoWherePlacesAreFree(t *testing.T) {
 	least := map[string]float64{"digest": 0.95, "explain": 0.95, "tag": 0.95}
 	for seed := range uint64(4) {
@@ -353,7 +353,7 @@
 	}
 }
 
-// check wants more than these shares of the kinds in time.
+// check requires that more than the given share of each kind was in time.
 func (p *placing) check(t *testing.T, least map[string]float64) {
 	for _, kind := range p.kinds {
 		share := p.share(kind.name)
@@ -362,11 +362,11 @@
 	}
 }
 
-// Some 3 of 100 digests are so long that reading them makes the streams beside them
-// late, and 2 of 100 cannot be in time themselves. They are to go where few others run.
-// Shares in time of three seeds while daemons knew of no places but by an engine's own
-// word: digest 0.83 to 0.86, explain 0.89 to 0.90, tag 0.98 to 0.99; with what others have
-// sent digest 0.91 to 0.93, explain 0.97 to 0.98, tag 0.99 to 1.00.
+// Guards against long prompts delaying many streams: 3 of 100 digests have a prefill that makes concurrent
+// streams late (2 of 100 cannot be in time themselves) and must be routed where few streams run. Shares in
+// time over three seeds if daemons only know the engines' load reports: digest 0.83 to 0.86, explain 0.89
+// to 0.90, tag 0.98 to 0.99. If they model the slots from other daemons' prompts: digest 0.91 to 0.93,
+// explain 0.97 to 0.98, tag 0.99 to 1.00.
 func TestLongPromptsGoWhereFewRun(t *testing.T) {
 	least := map[string]float64{"digest": 0.88, "explain": 0.96, "tag": 0.99}
 	for seed := range uint64(3) {
--- a/request/pool.go
+++ b/request/pool.go
@@ -18,20 +18,20 @@
 	"streambend.example/seam"
 )
 
-// Pool is the endpoints of one service. Routing reads a list that is replaced
-// whole; everything else is under the lock.
+// Pool holds the endpoints of one service. Routing reads an immutable list that is replaced as a whole;
+// the lock guards the rest.
 type Pool struct {
 	Service string // partner/name
 	Zone    string // of this daemon
 
-	list atomic.Pointer[poolList] // nil once endpoints have come or gone, until the next use
+	list atomic.Pointer[poolList] // nil after a change of endpoints, until the next use
 
 	mu       sync.Mutex
 	byID     map[string]*Target
 	standing rollout.Standing // of the service's versions
-	gone     map[string]bool  // boxes that have ended; the list may still show them
-	past     saidMemory       // of endpoints whose entries have gone
-	batch    int
+	gone     map[string]bool  // boxes that have ended; the box list may still contain them
+	past     saidMemory       // advertised state of endpoints without an entry
+	batch    int              // default concurrency of an endpoint
 
 	ticked time.Time
 
@@ -39,35 +39,34 @@
 	cost  ReadCost
 	holds holdTime
 
-	promises promises     // to callers for whom no endpoint takes more
-	held     atomic.Int64 // when a prompt was last sent that holds others up, as Unix nanoseconds
+	promises promises     // retry times given to callers refused at the endpoints' rate limits
+	held     atomic.Int64 // when a prompt that delays other streams was last routed, in Unix nanoseconds
 }
 
-// sentHalfLife is how fast the count of requests sent lately fades.
+// sentHalfLife is the half-life of the count of sent requests.
 const sentHalfLife = time.Minute
 
-// poolList is what routing reads.
+// poolList is an immutable snapshot of the endpoints for routing.
 type poolList struct {
 	all  []*Target
 	zone []*Target // those of this daemon's zone
 
-	// order is each one's place in an order that all daemons share and that
-	// changes little as endpoints come and go.
+	// order is the rank of each endpoint of all by its hash: all daemons agree on it, and it changes
+	// little as endpoints come and go.
 	order []int
 
 	byHash map[uint64]*Target
 }
 
-// NewPool returns an empty pool; batch is how many requests an endpoint is
-// thought to run together until it says so itself.
+// NewPool returns an empty pool; batch is the assumed concurrency of an endpoint until it reports its own.
 func NewPool(service, zone string, batch int) *Pool {
 	p := &Pool{Service: service, Zone: zone, byID: make(map[string]*Target), gone: make(map[string]bool), batch: batch}
 	p.hits.init()
 	return p
 }
 
-// Add takes an endpoint in and returns its view. An endpoint known already,
-// or known to be gone, is not added again.
+// Add adds an endpoint and returns its view. It returns the existing view of a known endpoint, and nil for
+// one that is known to have ended.
 func (p *Pool) Add(e Endpoint) *Target {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -85,7 +84,7 @@
 	return t
 }
 
-// Remove drops an endpoint for good.
+// Remove drops an endpoint permanently: Add refuses its ID from then on.
 func (p *Pool) Remove(id string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -96,7 +95,7 @@
 	}
 }
 
-// Forget drops an endpoint that may come back under the same name.
+// Forget drops an endpoint that may come back under the same ID; its advertised state is retained.
 func (p *Pool) Forget(id string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -107,7 +106,7 @@
 	}
 }
 
-// EndStart drops an endpoint that has started again, and ends what is under way at the start before.
+// EndStart drops the instance of an endpoint that has restarted, and cancels its in-flight requests.
 func (p *Pool) EndStart(id string) {
 	t := p.Get(id)
 	if t == nil {
@@ -117,9 +116,8 @@
 	t.end()
 }
 
-// view returns the list that routing reads. It is made at the first use after a change,
-// so that endpoints which come or go together cost one list: 210 took 7.7 ms with a
-// list for each, and take 0.17 ms.
+// view returns the snapshot for routing. It is built at the first use after a change, so that endpoints added
+// or removed together cost one rebuild: adding 210 takes 0.17 ms, and 7.7 ms with a rebuild for each.
 func (p *Pool) view() *poolList {
 	if l := p.list.Load(); l != nil {
 		return l
@@ -159,11 +157,10 @@
 	return p.byID[id]
 }
 
-// Targets returns all endpoints in order of their names.
+// Targets returns all endpoints, sorted by ID.
 func (p *Pool) Targets() []*Target { return p.view().all }
 
-// Sync brings the pool in line with the box list and returns the endpoints
-// that the list shows as leaving and that were not known to be.
+// Sync updates the pool from the box list and returns the boxes newly listed as leaving.
 func (p *Pool) Sync(boxes []seam.Box) (leaving []seam.Box) {
 	listed := make(map[string]bool)
 	for _, b := range boxes {
@@ -192,8 +189,8 @@
 	return leaving
 }
 
-// Tick lets endpoints back in whose ejection is over, and brings the load
-// estimates up to date.
+// Tick readmits endpoints whose ejection is over, updates the load estimates and decays the counts of sent
+// requests.
 func (p *Pool) Tick(now time.Time) {
 	p.mu.Lock()
 	fade := 0.0
@@ -209,8 +206,7 @@
 	}
 }
 
-// Capacity returns how many requests the endpoints that take work run
-// together, and how many are thought to be there.
+// Capacity returns the total concurrency of the endpoints that are not excluded, and their estimated load.
 func (p *Pool) Capacity() (batch, load int) {
 	for _, t := range p.Targets() {
 		if t.out.Load() {
@@ -224,17 +220,17 @@
 	return batch, load
 }
 
-// Reading returns the time of reading prompts that all daemons together have
-// sent to the engines, as far as it is known here.
+// Reading returns the estimated prefill time of all prompts sent to the engines by all daemons, as far as
+// this daemon knows of them.
 func (p *Pool) Reading() time.Duration {
 	return p.cost.Counted()
 }
 
-// ReadTimes returns the mean time that a prompt takes to be read, as sent to the
-// engines lately, and the squared variation of that time; 0 while none is known.
+// ReadTimes returns the mean prefill time of recently sent prompts and its squared coefficient of variation;
+// zeros while there is none.
 func (p *Pool) ReadTimes() (mean time.Duration, spread float64) { return p.cost.Times() }
 
-// InFlight returns how many requests of this daemon are at the endpoints.
+// InFlight returns the number of in-flight requests of this daemon.
 func (p *Pool) InFlight() int {
 	n := 0
 	for _, t := range p.Targets() {
@@ -243,8 +239,7 @@
 	return n
 }
 
-// Slots returns how many requests an endpoint runs together, on average over
-// those that do not leave, or 0 if there is none.
+// Slots returns the mean concurrency of the endpoints that are not leaving, or 0 if there is none.
 func (p *Pool) Slots() float64 {
 	places, count := 0, 0
 	for _, t := range p.Targets() {
@@ -259,20 +254,20 @@
 	return float64(places) / float64(max(count, 1))
 }
 
-// hitKey is a prefix on an endpoint.
+// hitKey identifies a prefix at an endpoint.
 type hitKey struct {
 	prefix uint64
 	target uint64
 }
 
-// hitMemory remembers which share of a prefix an endpoint last had cached.
-// What it says is an expectation; no promise rests on it.
+// hitMemory is an LRU map of the share of a prefix last found in an endpoint's cache. It only biases
+// routing; correctness does not depend on it.
 type hitMemory struct {
 	mu  sync.Mutex
 	lru *simplelru.LRU[hitKey, float32]
 }
 
-// hitsKept bounds what is remembered: 40 bytes each or so.
+// hitsKept is the capacity of hitMemory, at about 40 bytes per entry.
 const hitsKept = 16384
 
 func (h *hitMemory) init() { h.lru, _ = simplelru.NewLRU[hitKey, float32](hitsKept, nil) }
@@ -289,8 +284,8 @@
 	return h.lru.Get(k)
 }
 
-// scale multiplies what is remembered of a prefix, or of all prefixes if it
-// is 0, on an endpoint.
+// scale multiplies the share stored for a prefix at an endpoint, or for all prefixes there if the key's
+// prefix is 0.
 func (h *hitMemory) scale(k hitKey, by float32) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -308,13 +303,13 @@
 	}
 }
 
-// Hit records which share of a prefix an answer showed to be cached.
+// Hit records the cached share of a prefix that an answer reported.
 func (p *Pool) Hit(t *Target, prefix uint64, share float64) {
 	p.hits.set(hitKey{prefix, t.hash}, float32(share))
 }
 
-// Evicted takes in a cache event.
+// Evicted lowers the expected hit after an eviction event of the endpoint's cache.
 func (p *Pool) Evicted(t *Target, prefix uint64) { p.hits.scale(hitKey{prefix, t.hash}, 0.7) }
 
-// Gap takes in that cache events of an endpoint were lost.
+// Gap lowers all expected hits at an endpoint whose cache events were lost.
 func (p *Pool) Gap(t *Target) { p.hits.scale(hitKey{0, t.hash}, 0.7) }
--- a/request/pool_test.go
+++ b/request/pool_test.go
@@ -9,9 +9,9 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// A daemon that starts, and each daemon after an outage of the store, takes all
-// endpoints in one after the other. Ordered anew at each of them, 2,500 took 14 s of a
-// core, and 210 took 7.7 ms, which is 40 ms of a box that has a fifth of one.
+// Guards against rebuilding the sorted list for each added endpoint. A daemon adds all endpoints one by one
+// at its start and after an outage of the store: with a rebuild for each, 2,500 take 14 s of a core, and
+// 210 take 7.7 ms, or 40 ms on a box with a fifth of a core.
 func TestALargeListOfEndpointsIsTakenInQuickly(t *testing.T) {
 	began := time.Now()
 	p := pool(2500)
@@ -19,8 +19,8 @@
 	assert.Less(t, time.Since(began), time.Second)
 }
 
-// BenchmarkPoolFill takes in the endpoints of a large deployment: 7.7 ms when the list
-// was ordered anew at each, 0.17 ms with one list at its next use.
+// BenchmarkPoolFill adds the endpoints of a large deployment: 7.7 ms with a rebuild of the list for each,
+// 0.17 ms with one rebuild at the next use.
 func BenchmarkPoolFill(b *testing.B) {
 	for b.Loop() {
 		pool(210).Targets()
--- a/request/queue.go
+++ b/request/queue.go
@@ -11,86 +11,81 @@
 	"streambend.example/code"
 )
 
-// Ticket is a request's place in a Queue.
+// Ticket is a request in a Queue.
 type Ticket struct {
 	Team        string
-	Weight      float64 // share of the team, against others
+	Weight      float64 // fair-queuing weight of the team
 	Interactive bool
-	Priority    int           // within the team; lower goes first
-	Expect      time.Duration // time it will hold its place
-	Target      time.Time     // when the answer is wanted; zero for the deadline
-	Deadline    time.Time     // after which it is of no use
+	Priority    int           // within the team; lower values go first
+	Expect      time.Duration // expected service time
+	Target      time.Time     // when the answer is wanted; zero for no target before the deadline
+	Deadline    time.Time     // after which the answer is useless
 
 	ready  chan struct{}
 	err    *code.Error
 	tag    float64 // virtual finish time
 	queued bool
-	held   bool
+	held   bool // granted and not yet given back
 }
 
-// Ready is closed once the ticket is granted or refused; Err then tells which.
+// Ready returns a channel that is closed once the ticket is granted or refused; Err then tells which.
 func (t *Ticket) Ready() <-chan struct{} { return t.ready }
 
 // Err returns why the ticket was refused, or nil once it was granted.
 func (t *Ticket) Err() *code.Error { return t.err }
 
-// inTime reports whether a ticket granted after a wait ends by its target.
+// inTime reports whether the ticket, granted after wait, completes by its target.
 func (t *Ticket) inTime(now time.Time, wait time.Duration) bool {
 	need := time.Duration(expectMargin * float64(t.Expect))
 	return t.Target.IsZero() || !now.Add(wait+need).After(t.Target)
 }
 
-// hopeless reports whether a ticket granted after a wait ends past its
-// deadline.
+// hopeless reports whether the ticket, granted after wait, completes only after its deadline.
 func (t *Ticket) hopeless(now time.Time, wait time.Duration) bool {
 	return now.Add(wait + t.Expect).After(t.Deadline)
 }
 
 const (
-	// interactiveWeight is by how much work that cannot wait goes before
-	// work of the same team that can.
+	// interactiveWeight is the weight of interactive work relative to deferrable work of the same team.
 	interactiveWeight = 4
-	// lateShare is the share of a flow's places that goes to tickets which
-	// have missed their target. The rest goes to those that can still meet
-	// it, so that overload makes some requests late and not all of them.
+	// lateShare is the share of a flow's service for tickets that have missed their target. The rest
+	// serves those that can still meet it, so that overload makes some requests late, not all of them.
 	lateShare = 0.05
-	// expectMargin is by how much longer than expected an answer may take
-	// that is begun at the last moment.
+	// expectMargin is the safety factor on the expected service time in the check against the target.
 	expectMargin = 1.2
-	// patientShare is the share of the places that work which can wait always
-	// has, however much interactive work there is.
+	// patientShare is the share of the limit that deferrable work may always use.
 	patientShare = 0.2
-	// beyondShare is by how much interactive work may go beyond the limit.
-	// The engines honour priorities, and their common queue hands it a place
-	// sooner than one daemon's few places can.
+	// beyondShare and beyondLeast are by how much interactive work may exceed the limit, as a share of it
+	// and at least. The engines honour priorities, and their queue, shared by all daemons, has a free slot
+	// sooner than the few slots of one daemon.
 	beyondShare = 0.5
 	beyondLeast = 2
-	// meanTime is the time over which the interactive requests are averaged.
+	// meanTime is the time constant of the average of interactive requests.
 	meanTime = 3 * time.Second
 )
 
-// flowKey names the tickets that wait in one line.
+// flowKey identifies a flow.
 type flowKey struct {
 	team        string
 	interactive bool
 }
 
-// flow is the tickets of one team that wait: those that can meet their target,
-// and those that will be late.
+// flow holds the waiting tickets of one team, interactive or deferrable: those that can still meet their
+// target, and the late ones.
 type flow struct {
 	interactive bool
 	weight      float64
 	tickets     []*Ticket
 	late        []*Ticket
-	credit      float64 // seconds of service owed to late tickets
+	credit      float64 // seconds of service due to late tickets
 	last        float64 // virtual finish time of the last ticket granted or entered
-	running     int
+	running     int     // granted tickets
 }
 
 func (f *flow) waiting() int { return len(f.tickets) + len(f.late) }
 
-// next returns the line whose first ticket is to go: late tickets have theirs
-// when nobody else waits or they have enough credit.
+// next returns the list whose first ticket is served next: the late one if no other ticket waits or its
+// credit covers the first ticket.
 func (f *flow) next() *[]*Ticket {
 	if len(f.late) > 0 && (len(f.tickets) == 0 || f.credit >= f.late[0].Expect.Seconds()) {
 		return &f.late
@@ -98,8 +93,8 @@
 	return &f.tickets
 }
 
-// Queue admits requests of one service: as many at once as its Limiter allows,
-// in weighted fair order of the teams.
+// Queue is the admission queue of one service: it grants as many requests at once as its Limiter allows, by
+// weighted fair queuing over the teams.
 type Queue struct {
 	Limit     *Limiter
 	MaxQueued int
@@ -107,11 +102,11 @@
 	mu       sync.Mutex
 	flows    map[flowKey]*flow
 	running  int
-	patient  int // running that are not interactive
+	patient  int // running tickets that are not interactive
 	queued   int
-	virtual  float64
-	mean     float64 // interactive requests here, lately
-	observed time.Time
+	virtual  float64   // virtual time of the fair queue
+	mean     float64   // moving average of the interactive requests that run or wait
+	observed time.Time // when mean was last updated
 }
 
 // NewQueue returns an empty queue.
@@ -119,17 +114,17 @@
 	return &Queue{Limit: l, MaxQueued: maxQueued, flows: make(map[flowKey]*flow)}
 }
 
-// Enter admits a ticket, queues it, or refuses it at once: what cannot be
-// ready before its deadline is told so now, not when the deadline comes.
+// Enter grants a ticket, queues it, or refuses it. A request that cannot complete before its deadline is
+// refused at once instead of at the deadline.
 func (q *Queue) Enter(now time.Time, t *Ticket) *code.Error {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.observe(now)
 	t.ready = make(chan struct{})
 	f := q.flow(t)
-	q.fill(now) // time alone may have freed places
+	q.fill(now) // what may run also changes with time alone
 	if t.hopeless(now, 0) {
-		return code.New(code.DeadlineTooNear, "%s left, about %s needed", t.Deadline.Sub(now).Round(time.Millisecond), t.Expect.Round(time.Millisecond))
+		return code.New(code.DeadlineTooNear, "%s left, about %s required", t.Deadline.Sub(now).Round(time.Millisecond), t.Expect.Round(time.Millisecond))
 	}
 	if q.mayRun(f) && q.earliest() == nil {
 		q.grant(f, t)
@@ -141,10 +136,10 @@
 		wait = q.lateWait(f, t)
 	}
 	if t.hopeless(now, wait) {
-		return code.New(code.DeadlineTooNear, "about %s of waiting before it", wait.Round(time.Millisecond)).After(wait)
+		return code.New(code.DeadlineTooNear, "estimated queue wait of %s", wait.Round(time.Millisecond)).After(wait)
 	}
 	if q.queued >= q.MaxQueued && !q.makeRoom(f, wait) {
-		return code.New(code.QueueFull, "%d wait", q.queued).After(max(wait/2, 100*time.Millisecond))
+		return code.New(code.QueueFull, "%d requests queued", q.queued).After(max(wait/2, 100*time.Millisecond))
 	}
 	q.push(f, t, late)
 	return nil
@@ -164,8 +159,7 @@
 	return f
 }
 
-// observe brings the mean of the interactive requests up to now. It is called
-// before anything changes.
+// observe updates the average of the interactive requests. It is called before their number changes.
 func (q *Queue) observe(now time.Time) {
 	n := 0
 	for _, g := range q.flows {
@@ -178,10 +172,9 @@
 	q.mean += (float64(n) - q.mean) * (1 - math.Exp(-dt.Seconds()/meanTime.Seconds()))
 }
 
-// mayRun reports whether a ticket of the flow may have a place. Interactive
-// work may go beyond the limit. Work that can wait leaves what interactive
-// work has needed on average, and one deviation more, for its own places come
-// free too seldom to be waited for; it always has a small share.
+// mayRun reports whether a ticket of the flow may be granted. Interactive work may exceed the limit.
+// Deferrable work leaves free what interactive work has used on average plus one standard deviation, since
+// its own slots are released too rarely for interactive work to wait for; a small share is always its own.
 func (q *Queue) mayRun(f *flow) bool {
 	limit := q.Limit.Allowed()
 	beyond := limit + max(beyondLeast, int(beyondShare*float64(limit)))
@@ -195,7 +188,7 @@
 	return float64(q.patient) < math.Max(math.Max(1, patientShare*float64(limit)), left)
 }
 
-// rate returns how many seconds of service a flow gets in a second.
+// rate returns the seconds of service that a flow receives per second.
 func (q *Queue) rate(f *flow) float64 {
 	weights := f.weight
 	for _, g := range q.flows {
@@ -206,8 +199,8 @@
 	return f.weight / weights * float64(max(q.Limit.Allowed(), 1))
 }
 
-// wait estimates how long a ticket waits that can meet its target: the work
-// before it in its own line, at the line's share of the service.
+// wait estimates the queue wait of a ticket that can meet its target: the work ahead of it in its flow and
+// its own, at the flow's rate.
 func (q *Queue) wait(f *flow, t *Ticket) time.Duration {
 	own := t.Expect
 	for _, o := range f.tickets {
@@ -218,7 +211,7 @@
 	return time.Duration(float64(own) / q.rate(f))
 }
 
-// lateWait estimates the same for a ticket that will miss its target.
+// lateWait estimates the queue wait of a ticket that will miss its target.
 func (q *Queue) lateWait(f *flow, t *Ticket) time.Duration {
 	own := t.Expect
 	for _, o := range f.late {
@@ -227,8 +220,8 @@
 	return time.Duration(float64(own) / (lateShare * q.rate(f)))
 }
 
-// makeRoom refuses the newest ticket of the flow that holds most of the queue
-// for its weight, if that is not f itself.
+// makeRoom refuses the newest ticket of the flow with the most waiting tickets relative to its weight, and
+// reports whether it did: if that flow is f itself, nothing is refused.
 func (q *Queue) makeRoom(f *flow, wait time.Duration) bool {
 	most := f
 	for _, g := range q.flows {
@@ -243,7 +236,7 @@
 	if len(*line) == 0 {
 		line = &most.tickets
 	}
-	q.refuse(line, len(*line)-1, code.New(code.TeamShare, "the queue is full and its team over its share").After(wait))
+	q.refuse(line, len(*line)-1, code.New(code.TeamShare, "queue full and team over its fair share").After(wait))
 	return true
 }
 
@@ -262,7 +255,7 @@
 	f.tickets = slices.Insert(f.tickets, i, t)
 }
 
-// tag gives a ticket its virtual finish time.
+// tag assigns the ticket's virtual finish time.
 func (q *Queue) tag(f *flow, t *Ticket) {
 	t.tag = max(q.virtual, f.last) + t.Expect.Seconds()/f.weight
 	f.last = t.tag
@@ -278,7 +271,7 @@
 	close(t.ready)
 }
 
-// take removes the ticket at i from a line.
+// take removes the ticket at i from a list.
 func (q *Queue) take(line *[]*Ticket, i int) *Ticket {
 	t := (*line)[i]
 	*line = slices.Delete(*line, i, i+1)
@@ -293,8 +286,7 @@
 	close(t.ready)
 }
 
-// Leave gives a granted place back, or takes a queued ticket out, and grants
-// what may now run.
+// Leave releases a granted ticket or removes a queued one, and grants what may now run.
 func (q *Queue) Leave(now time.Time, t *Ticket) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -322,7 +314,7 @@
 	}
 }
 
-// Tick refuses what can no longer meet its deadline and grants what may run.
+// Tick refuses tickets that can no longer meet their deadline, and grants those that may run.
 func (q *Queue) Tick(now time.Time) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -330,7 +322,7 @@
 		for _, line := range []*[]*Ticket{&f.tickets, &f.late} {
 			for i := len(*line) - 1; i >= 0; i-- {
 				if t := (*line)[i]; t.hopeless(now, 0) {
-					q.refuse(line, i, code.New(code.DeadlineTooNear, "waited until too late").After(t.Expect))
+					q.refuse(line, i, code.New(code.DeadlineTooNear, "deadline can no longer be met").After(t.Expect))
 				}
 			}
 		}
@@ -338,6 +330,7 @@
 	q.fill(now)
 }
 
+// fill grants queued tickets, in order of virtual finish time, as long as any may run.
 func (q *Queue) fill(now time.Time) {
 	for q.queued > 0 {
 		f := q.earliest()
@@ -361,20 +354,20 @@
 	}
 }
 
-// demote moves the first ticket of a flow, which has missed its target, to the
-// late ones, or refuses it if it has no hope there.
+// demote moves the first ticket of a flow, which can no longer meet its target, to the late ones, or
+// refuses it if it would miss its deadline there.
 func (q *Queue) demote(now time.Time, f *flow) {
 	t := f.tickets[0]
 	if wait := q.lateWait(f, t); t.hopeless(now, wait) {
-		q.refuse(&f.tickets, 0, code.New(code.DeadlineTooNear, "about %s of waiting before it", wait.Round(time.Millisecond)).After(wait))
+		q.refuse(&f.tickets, 0, code.New(code.DeadlineTooNear, "estimated queue wait of %s", wait.Round(time.Millisecond)).After(wait))
 		return
 	}
 	f.tickets = slices.Delete(f.tickets, 0, 1)
 	f.late = append(f.late, t)
 }
 
-// earliest returns the flow that may run whose next ticket has the lowest
-// virtual time, or nil.
+// earliest returns the flow whose next ticket has the lowest virtual finish time among those that may run, or
+// nil.
 func (q *Queue) earliest() *flow {
 	var best *flow
 	var tag float64
@@ -389,7 +382,7 @@
 	return best
 }
 
-// State returns how many requests run and wait.
+// State returns the number of running and of queued requests.
 func (q *Queue) State() (running, queued int) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/request/queue_test.go
+++ b/request/queue_test.go
@@ -23,8 +23,8 @@
 	}
 }
 
-// queueMachine holds every ticket that was not refused at once, and knows what
-// the queue must say of them.
+// queueMachine is a state machine for rapid. It tracks every ticket that Enter did not refuse, and checks
+// the queue's invariants against them.
 type queueMachine struct {
 	q       *request.Queue
 	limit   int
@@ -63,8 +63,7 @@
 	m.q.Tick(m.now)
 }
 
-// check counts: nobody holds a place twice, waits while a place is free, or
-// waits without hope.
+// check verifies the queue's counts, the limit, and that no ticket waits while it could run.
 func (m *queueMachine) check(t *rapid.T) {
 	running, waiting, patientWaiting := 0, 0, 0
 	kept := m.tickets[:0]
@@ -84,16 +83,16 @@
 	m.tickets = kept
 	r, w := m.q.State()
 	if r != running || w != waiting {
-		t.Fatalf("the queue says %d run and %d wait, there are %d and %d", r, w, running, waiting)
+		t.Fatalf("queue reports %d running and %d queued, want %d and %d", r, w, running, waiting)
 	}
 	if most := m.limit + max(2, m.limit/2); running > most {
-		t.Fatalf("%d run, the most is %d", running, most)
+		t.Fatalf("%d running, maximum %d", running, most)
 	}
 	if waiting > patientWaiting && running < m.limit {
-		t.Fatalf("interactive work waits while %d of %d run", running, m.limit)
+		t.Fatalf("interactive ticket queued while %d of %d are running", running, m.limit)
 	}
 	if waiting > 0 && running == 0 {
-		t.Fatalf("%d wait and nothing runs", waiting)
+		t.Fatalf("%d queued and none running", waiting)
 	}
 }
 
@@ -105,8 +104,7 @@
 	})
 }
 
-// TestFloodLeavesOthersTheirShare lets one team send ten times as much as
-// another through one place after the other.
+// One team sends ten times as many requests as another; both must get an equal share of the service.
 func TestFloodLeavesOthersTheirShare(t *testing.T) {
 	q := request.NewQueue(request.NewLimiter(2, 0), 1000)
 	ticket := func(team string) *request.Ticket {
@@ -139,7 +137,7 @@
 			q.Leave(now, k)
 		}
 	}
-	assert.LessOrEqual(t, granted["flood"], 30, "20 of the small team's were through")
+	assert.LessOrEqual(t, granted["flood"], 30, "granted to the flooding team by the time the small team has its 20")
 }
 
 func TestRefusalsComeAtOnce(t *testing.T) {
@@ -157,7 +155,7 @@
 	err := enter("a", time.Second, time.Hour)
 	assert.Equal(t, code.QueueFull, code.Of(err))
 	assert.Positive(t, code.From(err).RetryAfter)
-	require.NoError(t, enter("b", time.Second, time.Hour), "room is made at the cost of who holds most")
+	require.NoError(t, enter("b", time.Second, time.Hour), "the newest ticket of the team with the largest share is refused")
 	assert.Equal(t, code.DeadlineTooNear, code.Of(enter("b", time.Second, 1100*time.Millisecond)))
 }
 
@@ -198,13 +196,13 @@
 		b.Spend(start)
 		again++
 	}
-	assert.InDelta(t, 20, again, 1, "after %d at the start", spent)
+	assert.InDelta(t, 20, again, 1, "initially %d", spent)
 }
 
 func TestTheUsualPaceIsNotThatOfTheFirstAnswer(t *testing.T) {
 	var s request.Speed
 	s.Answered(0, 5*time.Millisecond, 0, 0)
-	assert.Zero(t, s.Pace(true), "one answer says nothing of what is usual")
+	assert.Zero(t, s.Pace(true), "a single answer does not establish the usual pace")
 	for range 30 {
 		s.Answered(0, 60*time.Millisecond, 0, 0)
 	}
--- a/request/readcost.go
+++ b/request/readcost.go
@@ -9,68 +9,63 @@
 )
 
 const (
-	// readToken and readPair are the time to read a token, and for each million
-	// pairs of a token and one before it, taken until answers have shown them:
-	// 50,000 tokens a second, as a large engine on one accelerator reads.
-	// readStart is the time that the first event takes besides.
+	// readToken and readPair are the prior prefill times per token, and per million pairs of a token and an
+	// earlier one, in seconds: 50,000 tokens per second, as for a large engine on one accelerator. readStart
+	// is the prior time from the end of prefill to the first event, in seconds.
 	readToken = 20e-6
 	readPair  = 0.3e-3
 	readStart = 20e-3
-	// priorTokens, priorPairs and priorStarts are how much of such samples the
-	// guess counts.
+	// priorTokens, priorPairs and priorStarts are the weights of the priors, as of samples.
 	priorTokens = 20
 	priorPairs  = 200
 	priorStarts = 2
-	// sampleLeast is how many tokens a sample must have to tell of an engine's
-	// pace at reading, or of reading at all where no start is told apart.
+	// sampleLeast is the minimum number of tokens of a sample for an engine's pace, or, with NoStart, for
+	// the fit.
 	sampleLeast = 2000
-	// sampleTimes bounds a sample to so many times what was expected, either way:
-	// an engine that hung, or that read what another daemon had sent just before,
-	// tells nothing of reading. It still lets a wrong guess double with a sample.
+	// sampleTimes clamps a sample to this factor of the expected time, in both directions: an engine that
+	// hung, or that was busy with a prompt just sent by another daemon, says nothing about prefill. A wrong
+	// estimate can still double with each sample.
 	sampleTimes = 2
-	// forget is what is left of a sample's weight after the next.
+	// forget is the exponential decay of the weight of earlier samples, per sample.
 	forget = 0.98
-	// timesWeight is the weight of one prompt in the mean of reading times.
+	// timesWeight is the weight of one prompt in the moving average of prefill times.
 	timesWeight = 0.002
-	// chunkTokens is how many tokens engines read between two steps of the
-	// streams that run.
+	// chunkTokens is the prefill chunk: the prompt tokens that an engine processes between two decode steps.
 	chunkTokens = 4096
-	// eventTokens is how many of these steps make an event, until answers have
-	// shown it; eventStep is how far one answer moves it, as a share, and
-	// eventLeast how many events an answer must have to tell of it.
+	// eventTokens is the initial estimate of decode steps (tokens) per event; eventStep is the relative
+	// change per answer, and eventLeast the minimum number of events of an answer that counts.
 	eventTokens = 5
 	eventStep   = 0.03
 	eventLeast  = 8
 )
 
-// ReadCost is how long the engines of a service take to the first event of an
-// answer: a time for each token of its prompt, one for each pair of a token and
-// one before it, and a start that does not keep the engine from reading the next
-// prompt. It is fitted to the prompts that were read with nothing before them, by
-// least squares. Without the start, prompts of 4,000 tokens were taken to be read
-// in 72 ms where engines took 45 (5,112 answers of a day).
+// ReadCost models the time to the first event of an answer at the engines of a service: a time per prompt
+// token, a time per pair of a token and an earlier one, and a start time during which the engine can
+// already process the next prompt. It is fitted by least squares to prompts that were sent to an idle
+// engine. Without the start time, the model gave 72 ms of prefill for 4,000 tokens where engines took 45
+// ms.
 type ReadCost struct {
-	NoStart bool // the start is taken to be part of reading, for comparison
+	NoStart bool // counts the start time as prefill, for comparison
 
 	mu    sync.Mutex
-	total time.Duration // of all prompts that were sent
-	mean  float64       // seconds of those sent lately
-	sqr   float64       // and the mean of their squares
+	total time.Duration // prefill time of all prompts sent
+	mean  float64       // moving average of the prefill time, in seconds
+	sqr   float64       // moving average of its square
 	fit   fit
-	known coefficients // of fit, if fresh
+	known coefficients // solution of fit, valid if fresh
 	fresh bool
 
-	event float64 // tokens of an event; 0 while not known
+	event float64 // tokens per event; 0 while not known
 }
 
-// fit is the sums over samples of tokens (thousands), pairs (millions) and
-// seconds that least squares need.
+// fit holds the sums over samples for least squares: n is their number, t thousands of tokens, p millions of
+// pairs, s seconds.
 type fit struct {
 	n, t, p, s         float64
 	tt, tp, pp, ts, ps float64
 }
 
-// add takes a sample in, after which the earlier ones count a little less.
+// add decays the sums and adds a sample.
 func (f *fit) add(t, p, s float64) {
 	for _, sum := range []*float64{&f.n, &f.t, &f.p, &f.s, &f.tt, &f.tp, &f.pp, &f.ts, &f.ps} {
 		*sum *= forget
@@ -86,16 +81,16 @@
 	f.ps += p * s
 }
 
-// det3 is the determinant of a matrix of three columns.
+// det3 returns the determinant of a 3x3 matrix given by its columns.
 func det3(a, b, c [3]float64) float64 {
 	return a[0]*(b[1]*c[2]-b[2]*c[1]) - b[0]*(a[1]*c[2]-a[2]*c[1]) + c[0]*(a[1]*b[2]-a[2]*b[1])
 }
 
-// coefficients are the seconds of a start, a thousand tokens and a million pairs.
+// coefficients are the seconds per start, per thousand tokens and per million pairs.
 type coefficients struct{ start, token, pair float64 }
 
-// solved returns the coefficients of all samples; the caller holds the lock. They
-// are kept until the next sample, since each choice asks for them at each engine.
+// solved returns the fitted coefficients; the caller holds the lock. They are cached until the next sample,
+// since every routing decision needs them for every engine.
 func (c *ReadCost) solved() coefficients {
 	if !c.fresh {
 		c.known, c.fresh = c.solve(), true
@@ -103,7 +98,7 @@
 	return c.known
 }
 
-// solve fits the coefficients. The priors are samples of one kind each.
+// solve fits the coefficients by Cramer's rule. Each prior acts as samples of its variable alone.
 func (c *ReadCost) solve() coefficients {
 	f, priorStart := c.fit, float64(priorStarts)
 	guess := [3]float64{readStart, readToken * 1e3, readPair}
@@ -126,13 +121,12 @@
 	}
 }
 
-// pairsOf returns the millions of pairs that reading the last fresh tokens of a
-// prompt works through.
+// pairsOf returns the attention pairs, in millions, of the prefill of the last fresh tokens of a prompt.
 func pairsOf(fresh, total int) float64 {
 	return float64(fresh) * (float64(total) - float64(fresh)/2) / 1e6
 }
 
-// Time returns how long reading the last fresh tokens of a prompt takes.
+// Time returns the prefill time of the last fresh tokens of a prompt.
 func (c *ReadCost) Time(fresh, total int) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -140,15 +134,15 @@
 	return time.Duration((float64(fresh)/1e3*k.token + pairsOf(fresh, total)*k.pair) * float64(time.Second))
 }
 
-// Start returns the part of the time to a first event that is not reading.
+// Start returns the part of the time to the first event that is not prefill.
 func (c *ReadCost) Start() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return time.Duration(c.solved().start * float64(time.Second))
 }
 
-// Held returns the longest pause that reading the prompt causes to streams that
-// run beside: the time of the last chunks, as many as steps make an event.
+// Held returns the longest pause that a prompt's prefill causes in concurrent streams: the time of as many
+// of the last chunks as an event has decode steps.
 func (c *ReadCost) Held(fresh, total int) time.Duration {
 	return c.Time(min(fresh, int(c.eventTokens()*chunkTokens)), total)
 }
@@ -162,9 +156,9 @@
 	return c.event
 }
 
-// LearnEvents takes in how many events a whole answer had whose caller expected
-// so many tokens. Such a guess may be far off, but is right at the median, which
-// is what small steps of one size lead to.
+// LearnEvents updates the tokens per event from a complete answer and the number of tokens that its caller
+// had expected. Such an estimate may be far off but is right at the median, to which steps of equal size
+// converge.
 func (c *ReadCost) LearnEvents(tokens, events int) {
 	if tokens <= 0 || events < eventLeast {
 		return
@@ -181,8 +175,7 @@
 	}
 }
 
-// Learn takes in how long the first event of a prompt took that had nothing
-// before it.
+// Learn adds the time to the first event of a prompt that was sent to an idle engine.
 func (c *ReadCost) Learn(fresh, total int, took time.Duration) {
 	if c.NoStart && fresh < sampleLeast {
 		return
@@ -200,7 +193,7 @@
 	c.fresh = false
 }
 
-// Count adds to the time of reading that was ever sent to the engines.
+// Count adds the prefill time of a prompt that was sent to an engine.
 func (c *ReadCost) Count(d time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -214,8 +207,7 @@
 	c.sqr += timesWeight * (s*s - c.sqr)
 }
 
-// Times returns the mean time of reading the prompts that were sent lately, and
-// the squared variation of it.
+// Times returns the mean prefill time of recently sent prompts and its squared coefficient of variation.
 func (c *ReadCost) Times() (mean time.Duration, spread float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -225,7 +217,7 @@
 	return time.Duration(c.mean * float64(time.Second)), c.sqr/(c.mean*c.mean) - 1
 }
 
-// Counted returns the time of reading that was ever sent to the engines.
+// Counted returns the total prefill time of all prompts sent to the engines.
 func (c *ReadCost) Counted() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/request/readcost_test.go
+++ b/request/readcost_test.go
@@ -12,8 +12,8 @@
 	"streambend.example/request"
 )
 
-// The time for which streams are held up follows from how many tokens an event
-// holds, which differs between deployments: it shows in the callers' guesses.
+// The pause that prefill causes in concurrent streams depends on the tokens per event, which differ between
+// deployments and are learnt from the callers' estimates.
 func TestTheTokensOfAnEventAreLearnt(t *testing.T) {
 	for _, tokens := range []int{3, 8} {
 		var c request.ReadCost
@@ -21,10 +21,10 @@
 		r := rand.New(rand.NewPCG(1, uint64(tokens)))
 		for range 200 {
 			events := 10 + r.IntN(60)
-			guess := float64(events*tokens) * (0.4 + 1.2*r.Float64()) // right at the median
+			guess := float64(events*tokens) * (0.4 + 1.2*r.Float64()) // unbiased at the median
 			c.LearnEvents(int(guess), events)
 		}
-		// The longest pause is that of as many chunks as an event has tokens.
+		// The longest pause is the time of as many chunks as an event has tokens.
 		one := c.Time(4096, 100_000)
 		assert.InDelta(t, float64(tokens), float64(c.Held(100_000, 100_000))/float64(one), 1.2, "%d tokens an event", tokens)
 		assert.NotEqual(t, before, c.Held(100_000, 100_000))
@@ -41,9 +41,8 @@
 	assert.Equal(t, before, c.Held(100_000, 100_000))
 }
 
-// engine answers as one that begins 30 ms after it has read a prompt, at 100,000
-// tokens a second and 0.1 ms for a million pairs; every tenth answer is held up
-// by what nobody knows of.
+// engine simulates the time to the first event of an engine with a start time of 30 ms, a prefill rate of
+// 100,000 tokens per second and 0.1 ms per million pairs; every tenth answer has an unexplained delay.
 func engine(r *rand.Rand, fresh, total int) time.Duration {
 	pairs := float64(fresh) * (float64(total) - float64(fresh)/2) / 1e6
 	took := 0.030 + float64(fresh)*10e-6 + pairs*0.1e-3 + 0.004*r.Float64()
@@ -65,7 +64,7 @@
 	}
 	for _, fresh := range []int{4000, 16_000} {
 		reading := time.Duration(float64(fresh)*10e-6*1e9 + float64(fresh)*float64(fresh)/2e6*0.1e-3*1e9)
-		assert.InEpsilon(t, reading, c.Time(fresh, fresh), 0.25, "reading %d tokens", fresh)
+		assert.InEpsilon(t, reading, c.Time(fresh, fresh), 0.25, "prefill of %d tokens", fresh)
 	}
 	assert.InDelta(t, 32, c.Start().Milliseconds(), 15)
 }
--- a/request/route.go
+++ b/request/route.go
@@ -13,51 +13,50 @@
 // RoutePolicy names a way of choosing an endpoint.
 type RoutePolicy string
 
-// The routing policies: ours and the baselines it is measured against.
+// The routing policies: the default one and two baselines to compare it with.
 const (
 	RouteOurs   RoutePolicy = "ours"
 	RouteRandom RoutePolicy = "random"
 	RouteLeast  RoutePolicy = "least-loaded"
 )
 
-// Need is what a request asks of routing.
+// Need describes a request to routing.
 type Need struct {
-	Prefix      uint64 // names the prompt's head; 0 for none
-	Prompt      int    // tokens of the prompt, about
-	Plain       bool
-	Avoid       *Target // the endpoint that just failed
+	Prefix      uint64  // hash of the prompt's first part; 0 for none
+	Prompt      int     // approximate number of prompt tokens
+	Plain       bool    // a call without a prompt: no cache affinity
+	Avoid       *Target // the endpoint that has just failed
 	Settled     bool    // prefer boxes that are not reclaimable
 	Weigh       version.Weight
 	Policy      RoutePolicy
-	PrefillRate float64       // prompt tokens a second, measured
-	Service     time.Duration // time a request spends at an endpoint, measured
-	Homes       bool          // little is known of what other daemons have sent
-	Draw        uint64        // what chance decides by, so that a seed gives the same choices
-	Parts       []Part        // of the prompt, where they are known
-	Pause       time.Duration // the longest pause of a stream that is in time; 0 if not known
-	Trial       bool          // it goes to a version on trial
-	Ejected     bool          // endpoints at which requests have failed will do
+	PrefillRate float64       // prompt tokens per second
+	Service     time.Duration // mean time a request spends at an endpoint
+	Homes       bool          // this daemon sees little of what other daemons send
+	Draw        uint64        // random number for the choice; a seed reproduces it
+	Parts       []Part        // of the prompt; empty if not known
+	Pause       time.Duration // longest pause within a stream that still counts as in time; 0 if not known
+	Trial       bool          // route to a version under canary evaluation
+	Ejected     bool          // also allow endpoints ejected for soft failures
 	Without     mechanism.Set // mechanisms that are switched off
-	At          time.Time     // when it is asked
-	Rested      bool          // endpoints that have asked other daemons for rest will do
+	At          time.Time     // time of the routing decision
+	Rested      bool          // also allow endpoints that asked other daemons to back off
 }
 
-// Choice is the endpoint chosen and why.
+// Choice is the endpoint chosen, the reason, and the estimates behind it.
 type Choice struct {
 	Target *Target
-	Hit    float64 // share of the prompt expected in its cache
+	Hit    float64 // expected share of the prompt in its prefix cache
 	Load   int
-	Bound  int // load bound in force
+	Bound  int // load bound that was applied
 	Why    string
 	Reading
-	Place  time.Duration // until a place is free there
-	First  time.Duration // until the first event, as expected; 0 if not known
-	Until  time.Time     // by then the request is on its way, or the list is too old; zero for no limit
+	Place  time.Duration // estimated wait for a free slot there
+	First  time.Duration // expected time to the first event; 0 if not known
+	Until  time.Time     // latest time to send the request; zero for no limit
 	Others [candidateCount]Candidate
 }
 
-// WaitsBeyond reports whether even the chosen engine has more to do before it begins to read a
-// prompt than the prompt may wait for.
+// WaitsBeyond reports whether the prompt would wait longer than limit even at the chosen engine.
 func (c Choice) WaitsBeyond(limit time.Duration) bool { return max(c.Wait, c.Place) > limit }
 
 // Candidate is an endpoint that was considered.
@@ -67,19 +66,19 @@
 }
 
 const (
-	candidateCount = 4    // endpoints looked at in rendezvous order
+	candidateCount = 4    // endpoints considered in rendezvous order
 	loadSlack      = 1.15 // load bound as a multiple of the mean
-	sentSlack      = 1.05 // the same for the requests sent lately
-	sentRoom       = 0.5  // requests that every endpoint may be ahead, besides
+	sentSlack      = 1.05 // the same for recently sent requests
+	sentRoom       = 0.5  // requests any endpoint may have above that bound
 	zoneSeconds    = 0.002
-	recomputeTimes = 3 // by how much recomputed tokens count more for Podwave
+	recomputeTimes = 3 // weight of recomputed tokens for Podwave
 )
 
-// firstGuess is the expected hit at each place of the rendezvous order while
-// nothing is known of a prefix there.
+// firstGuess is the expected cache hit at each position of the rendezvous order
+// before any answer has reported one for the prefix.
 var firstGuess = [candidateCount]float64{0.5, 0.1, 0, 0}
 
-// mix gives the rendezvous weight of a target for a prefix.
+// mix hashes two numbers into one; for a prefix and a target it is the rendezvous weight.
 func mix(a, b uint64) uint64 {
 	x := (a ^ b) * 0x9e3779b97f4a7c15
 	x ^= x >> 32
@@ -87,9 +86,9 @@
 	return x ^ x>>32
 }
 
-// Route chooses an endpoint, or returns false if none takes work. Where all are kept out, one at
-// which requests have failed that it had taken is better than none: as all engines are slow at
-// once, all are kept out for silence.
+// Route chooses an endpoint, or returns false if none accepts work. If none is eligible, it falls back to
+// endpoints that asked other daemons to back off, then to those ejected for soft failures: when all engines
+// are slow at once, all are ejected for timeouts, and a slow one is better than none.
 func (p *Pool) Route(now time.Time, n Need) (Choice, bool) {
 	c, ok := p.route(now, n)
 	if !ok && !n.Rested {
@@ -121,7 +120,7 @@
 	}
 }
 
-// open reports whether a target takes work of this need.
+// open reports whether the target is eligible for the request.
 func (t *Target) open(n Need) bool {
 	if t.out.Load() && !(n.Ejected && t.soft.Load()) || t == n.Avoid || !t.takes(n.Trial) {
 		return false
@@ -133,16 +132,16 @@
 	return !shut
 }
 
-// share is a target's load per place, with its ramp after an ejection.
+// weighted returns the target's load, scaled up while it ramps up after an ejection.
 func (t *Target) weighted() float64 {
 	r := float64(math.Float32frombits(t.ramp.Load()))
 	return float64(t.load.Load()) / math.Max(r, rampStart)
 }
 
-// secondDraw makes a second number of a draw.
+// secondDraw derives a second random number from a draw.
 const secondDraw = 0x5bd1e995
 
-// pick returns a number below n that a draw decides.
+// pick returns a number below n, determined by the draw.
 func pick(draw uint64, n int) int { return int(mix(draw, uint64(n)) % uint64(n)) }
 
 func chooseRandom(all []*Target, n Need) (Choice, bool) {
@@ -155,9 +154,8 @@
 	return Choice{}, false
 }
 
-// leastLoaded returns the least loaded endpoint of those that take work and that f admits; nil if there
-// is none. Of several alike the draw decides: each of many daemons sees no load of its own at any, and
-// by name all of them would choose the same one.
+// leastLoaded returns the least loaded eligible endpoint for which f holds, or nil. The draw breaks ties:
+// many daemons each see no load of their own anywhere, and in order of name all would choose the same one.
 func leastLoaded(all []*Target, n Need, f func(*Target) bool) (best *Target) {
 	start := pick(n.Draw, len(all))
 	for i := range all {
@@ -177,8 +175,8 @@
 	return Choice{Target: best, Load: int(best.load.Load()), Why: why}, true
 }
 
-// chooseQuiet takes the endpoint with the fewest requests sent lately among
-// the less loaded half, for a prompt whose own endpoints are over their bounds.
+// chooseQuiet chooses the endpoint with the fewest recently sent requests among those within the load
+// bound, for a prompt whose preferred endpoints are over their bounds.
 func chooseQuiet(all []*Target, n Need) (Choice, bool) {
 	l := poolList{all: all}
 	bound := loadBound(&l, n)
@@ -196,8 +194,8 @@
 	return Choice{Target: best, Load: int(best.load.Load()), Why: "all of the order over the bound"}, true
 }
 
-// chooseTwo takes the less loaded of two random endpoints of the zone, and
-// spills to all zones when both are busier than the mean allows.
+// chooseTwo chooses the less loaded of two random endpoints of the availability zone, and spills to all
+// zones if that one is over the load bound.
 func (p *Pool) chooseTwo(l *poolList, n Need) (Choice, bool) {
 	if n.Settled {
 		if c, ok := chooseSettled(l, n); ok {
@@ -216,8 +214,7 @@
 	return c, ok
 }
 
-// chooseSettled takes the least loaded box that cannot be reclaimed, if one
-// is below the bound.
+// chooseSettled chooses the least loaded non-reclaimable box within the load bound, if there is one.
 func chooseSettled(l *poolList, n Need) (Choice, bool) {
 	bound := loadBound(l, n)
 	best := leastLoaded(l.all, n, func(t *Target) bool { return !t.Reclaimable && int(t.load.Load()) <= bound })
@@ -227,7 +224,7 @@
 	return Choice{Target: best, Load: int(best.load.Load()), Bound: bound, Why: "not reclaimable"}, true
 }
 
-// lighter picks two endpoints at random and returns the less loaded.
+// lighter draws two endpoints at random and returns the less loaded eligible one, or nil.
 func lighter(ts []*Target, n Need) *Target {
 	if len(ts) == 0 {
 		return nil
@@ -245,7 +242,7 @@
 	}
 }
 
-// loadBound is the load that no endpoint may pass while another is below it.
+// loadBound returns the load that no endpoint may exceed while another is below it.
 func loadBound(l *poolList, n Need) int {
 	sum, count := 0, 0
 	for _, t := range l.all {
@@ -260,9 +257,8 @@
 	return int(math.Ceil(loadSlack * float64(sum+1) / float64(count)))
 }
 
-// choosePrefix goes through the rendezvous order of the prompt's head. Every
-// daemon computes the same order, so the same prefix finds the same caches
-// without a word between daemons.
+// choosePrefix scores the first endpoints in the rendezvous order of the prompt's prefix. All daemons compute
+// the same order, so a prefix reaches the same caches without any coordination.
 func (p *Pool) choosePrefix(l *poolList, n Need) (Choice, bool) {
 	top, count, bound, sentBound := p.rank(l, n)
 	if count == 0 {
@@ -296,8 +292,7 @@
 	return c, true
 }
 
-// rank returns the first endpoints in rendezvous order and the bounds of load
-// and of requests sent lately.
+// rank returns the first endpoints in rendezvous order, and the bounds on load and on recently sent requests.
 func (p *Pool) rank(l *poolList, n Need) (top [candidateCount]*Target, count, bound int, sentBound float64) {
 	var weights [candidateCount]uint64
 	sum, open, sent := 0, 0, 0.0
@@ -328,7 +323,7 @@
 	return top, count, bound, sentBound
 }
 
-// expectHit returns the share of the prompt expected in a target's cache.
+// expectHit returns the expected share of the prompt in the target's cache.
 func (p *Pool) expectHit(t *Target, prefix uint64, place int) float64 {
 	if s, ok := p.hits.get(hitKey{prefix, t.hash}); ok {
 		return float64(s)
@@ -336,7 +331,7 @@
 	return firstGuess[place]
 }
 
-// score is the expected wait and recompute time in seconds.
+// score returns the expected wait and recompute time in seconds.
 func (p *Pool) score(t *Target, n Need, hit float64) float64 {
 	weight := 1.0
 	if n.Weigh == version.WeighRecompute {
--- a/request/route_test.go
+++ b/request/route_test.go
@@ -50,8 +50,7 @@
 	}
 }
 
-// TestLeavingAndEjectedGetNothing draws what happens to endpoints; the oracle
-// is a set of those that may be chosen.
+// Applies random events to endpoints and checks that Route never chooses a leaving or ejected one.
 func TestLeavingAndEjectedGetNothing(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := pool(6)
@@ -87,10 +86,10 @@
 				for _, n := range []request.Need{need(rapid.Uint64().Draw(t, "prefix")), {Plain: true}, {Plain: true, Settled: true}} {
 					c, ok := p.Route(now, n)
 					if ok && (left[c.Target.ID] || now.Before(until[c.Target.ID])) {
-						t.Fatalf("%s was chosen", c.Target.ID)
+						t.Fatalf("excluded endpoint %s was chosen", c.Target.ID)
 					}
 					if !ok && open == len(p.Targets()) {
-						t.Fatal("none chosen although all are open")
+						t.Fatal("no endpoint chosen although all are eligible")
 					}
 				}
 			},
@@ -124,7 +123,7 @@
 	p.Gap(c.Target)
 	gap, _ := p.Route(start, need(7919))
 	assert.Less(t, gap.Hit, evicted.Hit)
-	assert.Equal(t, before.Target, gap.Target, "an expectation moves the choice only when another is better")
+	assert.Equal(t, before.Target, gap.Target, "a lower expected hit alone does not change the choice")
 }
 
 func TestReturnIsGradual(t *testing.T) {
@@ -142,7 +141,7 @@
 		}
 	}
 	assert.Positive(t, chosen)
-	assert.Less(t, chosen, 10, "no more than a share of its bound")
+	assert.Less(t, chosen, 10, "limited to a share of its load bound")
 }
 
 func TestPlainCallsStayInTheZoneAndSpill(t *testing.T) {
@@ -158,13 +157,10 @@
 	assert.Equal(t, far, c.Target)
 }
 
-// What callers saw: requests that may not be repeated all ran at one endpoint of four, and a version on
-// trial was judged by one endpoint alone.
-//
-// Order of events: each of 16 daemons has at most one request under way, and sees no load at any endpoint.
-//
-// Cause: of endpoints with the same load the first by name was chosen. Evidence: 2,741 of 2,741 answers of
-// the old version came from the first of its four endpoints.
+// Guards against sending all non-repeatable requests to one of several equally loaded endpoints. It
+// happened when ties were broken by name: each of 16 daemons had at most one request in flight and saw no
+// load anywhere, so that all 2,741 answers came from the first of four endpoints, and one endpoint alone
+// decided a canary evaluation.
 func TestRequestsThatMayNotBeRepeatedAreSpread(t *testing.T) {
 	const endpoints, requests = 4, 400
 	p := request.NewPool("office/portal", "silom", 16)
@@ -183,8 +179,8 @@
 	assert.Len(t, got, endpoints)
 }
 
-// The same of prompts whose own endpoints are over their bounds: many daemons that have sent nothing lately
-// would all choose the first of the rest by name.
+// Guards against the same for prompts whose preferred endpoints are over their bounds: many daemons without
+// recent requests would all fall back to the first of the others by name.
 func TestPromptsPushedAsideAreSpread(t *testing.T) {
 	const endpoints, requests = 12, 400
 	got := make(map[string]int)
@@ -209,8 +205,7 @@
 	return c
 }
 
-// BenchmarkPoolMemory holds the view of 2,500 endpoints, with as many prefixes
-// remembered as are kept.
+// BenchmarkPoolMemory reports the memory per endpoint, for 2,500, and per prefix, with hitMemory full.
 func BenchmarkPoolMemory(b *testing.B) {
 	for b.Loop() {
 		runtime.GC()
--- a/request/said.go
+++ b/request/said.go
@@ -10,35 +10,34 @@
 	"streambend.example/pace"
 )
 
-// said is what the answers of one start of an endpoint say of itself. It outlasts the endpoint's
-// entry, which may lapse and come back while the store is away.
+// said is the state that one instance of an endpoint advertises in its answers. It outlives the endpoint's
+// registry entry, which may expire and return while the store is unavailable.
 type said struct {
-	asking atomic.Bool // whether one more may be sent there
-	turn   moment      // until when it is not worth asking
-	bound  atomic.Bool // it has named a limit
-	rest   moment      // until when it wants nothing of this daemon
-
-	// othersRest is until when it wants nothing of some other daemon. One that turns requests
-	// away for rest mostly does so to all, and of many daemons each would lose a request
-	// to it.
+	asking atomic.Bool // a permit is being requested
+	turn   moment      // no permit is available before then
+	bound  atomic.Bool // it advertises a rate limit
+	rest   moment      // it asked this daemon to send nothing until then
+
+	// othersRest is the same for other daemons. An endpoint that asks one daemon to back off usually
+	// rejects the requests of all, and each of many daemons would lose a request to learn it.
 	othersRest moment
 
 	mu     sync.Mutex
 	limit  pace.Limit
-	gap    time.Duration // between two requests that this daemon may send there, about
+	gap    time.Duration // approximate interval of this daemon's requests under the limit
 	leaves bool
-	bad    map[string]string // the last value of each kind that could not be believed
+	bad    map[string]string // last invalid value of each kind
 }
 
-// moment is a time until which something holds, kept with its monotonic reading: a step of the box's
-// time of day neither ends nor prolongs it. The zero value is none.
+// moment is an atomic expiry time. It includes the monotonic clock reading, so that a step of the wall
+// clock neither ends nor prolongs it. The zero value has expired.
 type moment struct{ at atomic.Pointer[time.Time] }
 
 func (m *moment) set(t time.Time) { m.at.Store(&t) }
 
 func (m *moment) clear() { m.at.Store(nil) }
 
-// extend sets a time unless the present one is later.
+// extend sets the expiry unless the current one is later.
 func (m *moment) extend(t time.Time) {
 	for {
 		old := m.at.Load()
@@ -48,7 +47,7 @@
 	}
 }
 
-// left returns how long it still holds.
+// left returns the time until expiry, 0 if it has expired.
 func (m *moment) left(now time.Time) time.Duration {
 	until := m.at.Load()
 	if until == nil {
@@ -57,15 +56,15 @@
 	return max(until.Sub(now), 0)
 }
 
-// Limit returns the requests a second that the endpoint takes from all daemons together.
+// Limit returns the rate limit that the endpoint advertises, in requests per second over all daemons.
 func (t *Target) Limit() pace.Limit {
 	t.said.mu.Lock()
 	defer t.said.mu.Unlock()
 	return t.said.limit
 }
 
-// NameLimit takes in what an answer of the endpoint names, 0 for none. It reports whether others have
-// to be told.
+// NameLimit records the rate limit that an answer of the endpoint advertises, 0 for none. It reports
+// whether to announce it to other daemons.
 func (t *Target) NameLimit(perSecond float64) (l pace.Limit, tell bool) {
 	t.said.mu.Lock()
 	defer t.said.mu.Unlock()
@@ -74,7 +73,7 @@
 	return l, tell
 }
 
-// HearLimit takes in what another daemon has told, and reports whether it goes before what was known.
+// HearLimit records a limit announced by another daemon, and reports whether it supersedes the known one.
 func (t *Target) HearLimit(l pace.Limit) bool {
 	t.said.mu.Lock()
 	defer t.said.mu.Unlock()
@@ -85,7 +84,7 @@
 	return true
 }
 
-// set replaces the limit; the caller holds the lock. An endpoint that names none is free at once.
+// set replaces the limit; the caller holds the lock. Without a limit, no wait for a permit remains.
 func (s *said) set(l pace.Limit) {
 	s.limit = l
 	s.bound.Store(l.Named())
@@ -94,7 +93,7 @@
 	}
 }
 
-// refuse notes when one more may be sent.
+// refuse records when a permit is available again after a refusal.
 func (s *said) refuse(now time.Time, g pace.Grant) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -104,7 +103,7 @@
 	}
 }
 
-// unbelieved notes a value that could not be believed, and reports whether it is another than the last.
+// unbelieved records an invalid value, and reports whether it differs from the last one of its kind.
 func (s *said) unbelieved(b pace.Bad) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -118,11 +117,11 @@
 	return true
 }
 
-// askTime is how long a question takes about for whether one more may be sent to an endpoint.
+// askTime is the approximate time that a request for a permit takes.
 const askTime = 10 * time.Millisecond
 
-// takesFrom returns from when on an endpoint takes a request by what its answers have said; ok is
-// false if it does now.
+// takesFrom returns when the endpoint accepts a request according to its advertised state; shut is false if
+// it does so now.
 func (s *said) takesFrom(now time.Time) (at time.Time, shut bool) {
 	wait := s.rest.left(now)
 	if s.bound.Load() {
@@ -134,8 +133,7 @@
 	return now.Add(wait), wait > 0
 }
 
-// gapNow returns the time between two requests that this daemon may send, 0 for an endpoint without
-// a limit.
+// gapNow returns the interval of this daemon's requests under the limit, 0 for an endpoint without one.
 func (s *said) gapNow() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -145,7 +143,7 @@
 	return s.gap
 }
 
-// Limited returns how many endpoints limit themselves.
+// Limited returns the number of endpoints that advertise a rate limit.
 func (w *Works) Limited() (n int) {
 	for _, k := range w.All() {
 		for _, t := range k.Pool.Targets() {
@@ -157,15 +155,16 @@
 	return n
 }
 
-// saidMost bounds how many endpoints without an entry are remembered by what they have said.
+// saidMost is the capacity of saidMemory.
 const saidMost = 1024
 
-// saidMemory keeps what endpoints have said whose entries have gone. The zero value is ready.
+// saidMemory holds the advertised state of endpoints without a registry entry. The zero value is ready to
+// use.
 type saidMemory struct {
 	byHash map[uint64]*said
 }
 
-// keep remembers a start of an endpoint.
+// keep stores the state of an endpoint instance; a full memory is emptied first.
 func (m *saidMemory) keep(hash uint64, s *said) {
 	if m.byHash == nil || len(m.byHash) >= saidMost {
 		m.byHash = make(map[uint64]*said)
@@ -173,7 +172,7 @@
 	m.byHash[hash] = s
 }
 
-// take returns what a start of an endpoint has said, from before if it was known.
+// take removes and returns the stored state of an endpoint instance, or returns an empty one.
 func (m *saidMemory) take(hash uint64) *said {
 	s := m.byHash[hash]
 	if s == nil {
@@ -183,9 +182,9 @@
 	return s
 }
 
-// FreeAt returns when the first endpoint takes a request of this need that would take it but for what
-// its answers have said, and the time between two such requests of this daemon; ok is false if there
-// is no such endpoint.
+// FreeAt returns when the first of the endpoints that decline the request only by their advertised state
+// will accept it, and the combined interval of this daemon's requests at them; ok is false if there is no
+// such endpoint.
 func (p *Pool) FreeAt(now time.Time, n Need) (at time.Time, gap time.Duration, ok bool) {
 	perSecond := 0.0
 	for _, t := range p.Targets() {
@@ -209,21 +208,21 @@
 	return at, gap, ok
 }
 
-// promises are the times at which refused callers were told to come back. The zero value is ready.
+// promises schedules the retry times given to refused callers. The zero value is ready to use.
 type promises struct {
 	mu   sync.Mutex
 	last time.Time
 }
 
 const (
-	// longestPromise bounds how far ahead a caller is told to come back, and leastGap
-	// keeps those who were told of one moment from coming back all at once.
+	// longestPromise is the maximum retry delay given to a caller; leastGap is the minimum interval of retry
+	// times, so that refused callers do not return all at once.
 	longestPromise = time.Minute
 	leastGap       = 2 * time.Millisecond
 )
 
-// next returns when one more caller may come back, if the first is served at a time and each further
-// one a gap later.
+// next returns the retry time for one more caller: first for the first caller, and a gap later for each
+// further one.
 func (p *promises) next(now, first time.Time, gap time.Duration) time.Time {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/request/target.go
+++ b/request/target.go
@@ -11,7 +11,7 @@
 	"github.com/pkg/errors"
 )
 
-// Class is how loaded an endpoint is, as daemons tell each other.
+// Class is the load class of an endpoint, as exchanged between daemons.
 type Class int
 
 // The load classes.
@@ -29,14 +29,14 @@
 	return [...]string{"unknown", "idle", "normal", "busy", "full", "leaving"}[c]
 }
 
-// classBounds are the shares of a batch at which Normal, Busy and Full begin.
+// classBounds are the load-to-batch ratios at which Normal, Busy and Full begin.
 var classBounds = [...]float64{0.25, 0.75, 1}
 
-// classSlack is by how much a load must pass a bound before the class falls.
+// classSlack is the hysteresis: how far the ratio must fall below a bound before the class drops.
 const classSlack = 0.1
 
-// ClassOf returns the class of a load. It falls only once the load is clearly
-// below a bound, so that a load near one does not make the class swing.
+// ClassOf returns the class of a load. The class drops only once the load is clearly below a bound, so that
+// a load near a bound does not make it oscillate.
 func ClassOf(before Class, load, batch int) Class {
 	if batch <= 0 {
 		return Unknown
@@ -54,54 +54,54 @@
 	return c
 }
 
-// assumedShare is the load that a class stands for when no number is known.
+// assumedShare is the load-to-batch ratio assumed for each class if no number is known.
 var assumedShare = [...]float64{0.5, 0.1, 0.5, 0.9, 1.3, 1}
 
-// Target is one start of an endpoint as this daemon sees it.
+// Target is this daemon's view of one instance (one process start) of an endpoint.
 type Target struct {
 	Endpoint
 	hash    uint64
-	mine    atomic.Int32  // requests of this daemon in flight
-	load    atomic.Int32  // estimate of all requests in flight there
-	out     atomic.Bool   // leaving or ejected
-	soft    atomic.Bool   // it is out only as requests failed there that it had taken
-	ramp    atomic.Uint32 // share of its load bound it may take, as float bits
+	mine    atomic.Int32  // in-flight requests of this daemon
+	load    atomic.Int32  // estimated in-flight requests of all daemons
+	out     atomic.Bool   // excluded from routing: leaving or ejected
+	soft    atomic.Bool   // ejected only because requests failed that it had accepted
+	ramp    atomic.Uint32 // share of the load bound allowed after an ejection, as float bits
 	said    *said
 	backlog *Backlog
 	holds   *holdTime     // of the service
-	places  Places        // taken by others
-	answers atomic.Bool   // a request of this daemon was answered whole
-	over    atomic.Bool   // the endpoint has started again since
+	places  Places        // slots used by other daemons
+	answers atomic.Bool   // it has completed a request of this daemon
+	over    atomic.Bool   // the endpoint has restarted since
 	role    atomic.Int32  // rollout.Role of its version
-	resting atomic.Bool   // of a version on trial that others are enough for
-	sent    atomic.Uint32 // requests that this daemon has sent lately, fading, as float bits
+	resting atomic.Bool   // canary instance without traffic, as others suffice for the evaluation
+	sent    atomic.Uint32 // decaying count of requests sent by this daemon, as float bits
 
 	mu       sync.Mutex
 	class    Class
 	batch    int
 	reported int
 	at       time.Time     // of the report
-	life     time.Duration // how long it is believed
+	life     time.Duration // validity of the report
 	since    int           // requests sent since the report
 	deadline time.Time     // of a leaving box
-	left     chan struct{}
-	fails    int
-	until    time.Time // ejected until
-	ejected  time.Duration
-	pace     time.Duration // of its answers lately: a token's, or a plain call's
-	paced    int           // answers that pace is made of
+	left     chan struct{} // closed when the endpoint starts leaving
+	fails    int           // consecutive failures
+	until    time.Time     // end of the ejection
+	ejected  time.Duration // length of the last ejection
+	pace     time.Duration // moving average of the time per token, or per plain call
+	paced    int           // answers in pace
 	flights  map[*Flight]struct{}
 }
 
-// A load report is believed for reportLife; what a watcher has told, which
-// tells again only of changes, for heardLife. Older ones fade towards the load
-// assumed of an unknown endpoint, never towards idle.
+// A load report from the endpoint is valid for reportLife. A class from another daemon is valid for
+// heardLife, as daemons only announce changes. Older values decay towards the load assumed of an unknown
+// endpoint, never towards idle.
 const (
 	reportLife = 5 * time.Second
 	heardLife  = 5 * time.Minute
 )
 
-// newTarget returns the view of an endpoint of which nothing is known yet.
+// newTarget returns the view of an endpoint without any report.
 func newTarget(e Endpoint, batch int, cost *ReadCost, holds *holdTime, s *said) *Target {
 	if e.Slots > 0 {
 		batch = e.Slots
@@ -114,7 +114,7 @@
 	return t
 }
 
-// Report takes a load report in.
+// Report records a load report of the endpoint.
 func (t *Target) Report(now time.Time, load, batch int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -128,8 +128,7 @@
 	t.estimate(now)
 }
 
-// Hear takes in the class that another daemon has told of. It does not
-// replace a number that is still fresh.
+// Hear records the class announced by another daemon. It does not replace a fresh load report.
 func (t *Target) Hear(now time.Time, c Class) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -142,7 +141,7 @@
 	t.estimate(now)
 }
 
-// Class returns the class and the estimated load at now.
+// Class returns the load class and the estimated load at now.
 func (t *Target) Class(now time.Time) (Class, int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -153,8 +152,7 @@
 	return t.class, int(t.load.Load())
 }
 
-// reportAge returns how long ago the endpoint's load was last reported, or less
-// than 0 if it never was.
+// reportAge returns the age of the last load report, negative if there was none.
 func (t *Target) reportAge(now time.Time) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -164,14 +162,14 @@
 	return now.Sub(t.at)
 }
 
-// saysFull reports whether the endpoint itself has said lately that it is full.
+// saysFull reports whether the endpoint is full according to a recent load report or announcement.
 func (t *Target) saysFull(now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.class == Full && now.Sub(t.at) < reportLife
 }
 
-// estimate brings load up to date; the caller holds the lock.
+// estimate updates load; the caller holds the lock.
 func (t *Target) estimate(now time.Time) {
 	est := float64(t.reported + t.since)
 	if age := now.Sub(t.at); age > t.life {
@@ -182,7 +180,7 @@
 	t.load.Store(max(int32(est), t.mine.Load()))
 }
 
-// Begin counts a request that this daemon sends, and takes in its Flight.
+// Begin counts a request sent by this daemon and registers its Flight, if any.
 func (t *Target) Begin(f *Flight) {
 	t.mine.Add(1)
 	t.load.Add(1)
@@ -195,7 +193,7 @@
 	}
 }
 
-// lately returns how many requests this daemon has sent there lately.
+// lately returns the decaying count of requests sent by this daemon.
 func (t *Target) lately() float64 { return float64(math.Float32frombits(t.sent.Load())) }
 
 func (t *Target) addSent(n float64) {
@@ -207,7 +205,7 @@
 	}
 }
 
-// End takes back what Begin has counted.
+// End reverses Begin once the request has ended.
 func (t *Target) End(f *Flight) {
 	t.mine.Add(-1)
 	t.load.Add(-1)
@@ -223,8 +221,8 @@
 	}
 }
 
-// Leave marks the endpoint as leaving at a deadline. It reports whether that
-// is new, and returns the flights that are under way there.
+// Leave marks the endpoint as leaving at a deadline. It reports whether that is new, and returns the
+// in-flight requests.
 func (t *Target) Leave(deadline time.Time) (flights []*Flight, fresh bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -241,10 +239,10 @@
 	return flights, true
 }
 
-// errNewStart ends an attempt whose endpoint has started again: it knows nothing of it.
-var errNewStart = errors.New("request: the endpoint has started again")
+// errNewStart ends an attempt whose endpoint has restarted: the new instance does not know the request.
+var errNewStart = errors.New("request: endpoint restarted")
 
-// end ends what is under way at a start of the endpoint that is over.
+// end excludes an instance that has been replaced and cancels its in-flight requests.
 func (t *Target) end() {
 	t.over.Store(true)
 	t.soft.Store(false)
@@ -256,24 +254,24 @@
 	}
 }
 
-// Leaving reports whether the endpoint is leaving, and when it ends.
+// Leaving reports whether the endpoint is leaving, and its deadline.
 func (t *Target) Leaving() (deadline time.Time, ok bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.deadline, t.class == Leaving
 }
 
-// The bounds of ejection.
+// Parameters of ejection (outlier detection).
 const (
-	ejectAfter = 3 // failures in a row
+	ejectAfter = 3 // consecutive failures
 	ejectFirst = time.Second
 	ejectMost  = 30 * time.Second
-	rampStart  = 0.1 // share of the load bound at the return
-	rampStep   = 1.5 // growth of that share with each success
+	rampStart  = 0.1 // initial share of the load bound after an ejection
+	rampStep   = 1.5 // factor on that share per success
 )
 
-// Fail counts a failure and reports whether the endpoint is ejected by it. A
-// hard failure, such as a refused connection, ejects at once.
+// Fail counts a failure and reports whether it ejects the endpoint. A hard failure, such as a refused
+// connection, ejects at once. Each further ejection is twice as long, up to ejectMost.
 func (t *Target) Fail(now time.Time, hard bool) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -289,12 +287,11 @@
 	return true
 }
 
-// endedFor is for how long an endpoint is kept out that is known to have ended: until its entry
-// is missing, after three heartbeats of 1.2 s.
+// endedFor is how long an endpoint that is known to have ended is excluded: until its registry entry
+// expires, after three heartbeats of 1.2 s.
 const endedFor = 3600 * time.Millisecond
 
-// Gone keeps an endpoint out that is known to have ended, and reports whether it was not
-// kept out before.
+// Gone excludes an endpoint that is known to have ended, and reports whether it was not excluded before.
 func (t *Target) Gone(now time.Time) (fresh bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -306,16 +303,15 @@
 	return fresh
 }
 
-// keepOut keeps the endpoint out until a time, unless it is kept out for longer; the caller
-// holds the lock.
+// keepOut extends the exclusion to the given time and never shortens it; the caller holds the lock.
 func (t *Target) keepOut(until time.Time) {
 	if until.After(t.until) {
 		t.until = until
 	}
 }
 
-// Succeed counts a success: it ends a row of failures and lets an endpoint
-// that has returned take more.
+// Succeed counts a success: it resets the failure count and raises the ramp of an endpoint that has
+// returned from ejection.
 func (t *Target) Succeed() {
 	t.answers.Store(true)
 	t.mu.Lock()
@@ -328,18 +324,18 @@
 	}
 }
 
-// Answered reports whether a request of this daemon was ever answered whole there.
+// Answered reports whether the endpoint has ever completed a request of this daemon.
 func (t *Target) Answered() bool { return t.answers.Load() }
 
-// An endpoint is slow if slowAfter answers or more came on average at slowTimes
-// the service's usual pace. A full batch is about twice as slow as an empty one.
+// An endpoint is slow if the average over at least slowAfter answers exceeds slowTimes the service's usual
+// time per token. A full batch is about twice as slow as an empty one.
 const (
 	slowAfter = 4
 	slowTimes = 4
 )
 
-// Paced takes in the pace of a whole answer, beside the service's usual one,
-// and reports whether the endpoint is ejected as slow.
+// Paced records the time per token (or per plain call) of a complete answer, and reports whether the
+// endpoint is ejected as slow compared with the service's usual value.
 func (t *Target) Paced(now time.Time, pace, usual time.Duration) bool {
 	t.mu.Lock()
 	t.paced++
@@ -352,8 +348,7 @@
 	return slow && t.Fail(now, true)
 }
 
-// Return lets an endpoint back in whose ejection is over. It reports whether
-// it did.
+// Return readmits an endpoint whose ejection is over, at the start of its ramp, and reports whether it did.
 func (t *Target) Return(now time.Time) bool {
 	if !t.out.Load() {
 		return false
@@ -368,7 +363,7 @@
 	return true
 }
 
-// Ejected reports whether the endpoint is kept out for its failures.
+// Ejected reports whether the endpoint is excluded for a reason other than leaving.
 func (t *Target) Ejected() bool {
 	_, leaving := t.Leaving()
 	return t.out.Load() && !leaving
--- a/request/word.go
+++ b/request/word.go
@@ -8,16 +8,16 @@
 	"streambend.example/pace"
 )
 
-// Word is what the answers of a start of an endpoint say of itself, as daemons tell each other.
+// Word is the advertised state of an endpoint instance, as exchanged between daemons.
 type Word struct {
 	Endpoint uint64     `codec:"e"` // Endpoint.Hash
 	Limit    pace.Limit `codec:"l,omitempty"`
 	Leaves   bool       `codec:"v,omitempty"`
 
-	Rest time.Duration `codec:"r,omitempty"` // that it has asked some daemon for, and that is left
+	Rest time.Duration `codec:"r,omitempty"` // remaining time for which it asked some daemon to back off
 }
 
-// With returns what both words say together, of the endpoint of the second.
+// With merges two states; the result has the Endpoint of x.
 func (w Word) With(x Word) Word {
 	w.Endpoint = x.Endpoint
 	if x.Limit.Over(w.Limit) {
@@ -28,7 +28,7 @@
 	return w
 }
 
-// Word returns what is known of what the endpoint has said.
+// Word returns the known advertised state of the endpoint.
 func (t *Target) Word(now time.Time) Word {
 	t.said.mu.Lock()
 	defer t.said.mu.Unlock()
@@ -36,7 +36,7 @@
 	return Word{Endpoint: t.hash, Limit: t.said.limit, Leaves: t.said.leaves, Rest: rest}
 }
 
-// HearWord takes in what another daemon tells. An endpoint that leaves has so long left.
+// HearWord merges the state announced by another daemon. An endpoint that leaves ends after left.
 func (t *Target) HearWord(now time.Time, w Word, left time.Duration) {
 	t.HearLimit(w.Limit)
 	t.said.othersRest.extend(now.Add(w.Rest))
@@ -45,8 +45,8 @@
 	}
 }
 
-// SayLeaving takes in that the endpoint leaves, by its own word, and reports whether that is new. It
-// holds for this start of the endpoint, whatever its entry says.
+// SayLeaving records that the endpoint itself advertises that it leaves, and reports whether that is new. It
+// overrides the registry entry of this instance.
 func (t *Target) SayLeaving(now time.Time, left time.Duration) (fresh bool) {
 	t.said.mu.Lock()
 	fresh = !t.said.leaves
@@ -56,8 +56,8 @@
 	return fresh
 }
 
-// SayRest takes in that the endpoint wants nothing of this daemon for a time, and reports whether others
-// have to be told: not while they know of a rest.
+// SayRest records that the endpoint asked this daemon to back off for d. It reports whether to announce it
+// to other daemons, which is not needed while a back-off is already known.
 func (t *Target) SayRest(now time.Time, d time.Duration) (tell bool) {
 	tell = t.said.rest.left(now) == 0 && t.said.othersRest.left(now) == 0
 	t.said.rest.extend(now.Add(d))
--- a/request/work.go
+++ b/request/work.go
@@ -10,7 +10,7 @@
 	"streambend.example/version"
 )
 
-// Work is what this daemon keeps of one service while it runs.
+// Work holds this daemon's runtime state of one service.
 type Work struct {
 	Pool   *Pool
 	Queue  *Queue
@@ -18,45 +18,45 @@
 	Speed  *Speed
 }
 
-// Options are a daemon's settings of its requests.
+// Options configure how a daemon serves requests.
 type Options struct {
 	Zone        string
 	Route       RoutePolicy
 	Move        MovePolicy
-	MaxQueued   int           // requests that wait for one service
-	FirstWait   time.Duration // an endpoint that has sent nothing by then is broken
-	Stall       time.Duration // an endpoint that pauses for so long is broken
-	Drain       time.Duration // how long an endpoint goes on that says that it leaves
-	Grace       time.Duration // how long past its deadline a request goes on
-	Detached    time.Duration // how long a keyed answer goes on without a reader
-	Keep        time.Duration // how long a finished keyed answer is kept
-	KeepMost    int           // finished keyed answers kept
-	Transfer    float64       // tokens of KV an engine exports a second
-	StartLimit  int           // requests of a service at the endpoints, to begin with
-	NoLimit     bool          // no adaptive limit, for comparison
-	NoBudget    bool          // no retry budget, for comparison
-	NoFairQueue bool          // one line for all teams, for comparison
-	Retry       *RetryBound   // of the retries over all daemons; nil for a share of the successes
-	RouteWait   time.Duration // how long a request waits for an endpoint; 0 for until its deadline
-	Listed      Listed        // nil for a list of endpoints that is never too old
-	Homes       func() bool   // daemons know little of what others have sent; nil for no
-	Sent        func(s Sent)  // is told of each prompt sent to an engine; nil for none
+	MaxQueued   int           // maximum queued requests of one service
+	FirstWait   time.Duration // timeout for the first event of an endpoint
+	Stall       time.Duration // timeout between events of an endpoint
+	Drain       time.Duration // how long an endpoint continues after it announces that it leaves
+	Grace       time.Duration // how long a request continues past its deadline
+	Detached    time.Duration // how long an answer with an idempotency key continues without a reader
+	Keep        time.Duration // retention of a finished answer with an idempotency key
+	KeepMost    int           // maximum number of retained answers
+	Transfer    float64       // KV export rate of an engine, in tokens per second
+	StartLimit  int           // initial concurrency limit of a service
+	NoLimit     bool          // disables the adaptive limit, for comparison
+	NoBudget    bool          // disables the retry budget, for comparison
+	NoFairQueue bool          // one queue for all teams, for comparison
+	Retry       *RetryBound   // bound on retries over all daemons; nil for a share of the successes
+	RouteWait   time.Duration // maximum wait for an eligible endpoint; 0 for the request's deadline
+	Listed      Listed        // nil if the endpoint list never expires
+	Homes       func() bool   // reports whether daemons see little of what others send; nil for no
+	Sent        func(s Sent)  // called for each prompt sent to an engine; nil for none
 	Without     mechanism.Set // mechanisms that are switched off
-	Trials      Trials        // of versions that are rolled out; nil for none
+	Trials      Trials        // canary evaluation of rolled-out versions; nil for none
 	Judge       JudgePolicy   // decides what follows an attempt; nil for Classify
-	Permits     Permits       // for endpoints that limit themselves; nil for none
-	Said        func(w Word)  // is told of what endpoints' answers newly say of themselves; nil for none
-	Holds       HoldShare     // with whom it is shared which requests are held back
+	Permits     Permits       // for endpoints with an advertised rate limit; nil for none
+	Said        func(w Word)  // called when an endpoint's answers advertise new state; nil for none
+	Holds       HoldShare     // shares with other daemons which requests are held back
 
-	Now  func() time.Time // by which ages and deadlines are judged; nil for time.Now
-	Look func()           // brings Now up to date after a wait; nil for nothing
+	Now  func() time.Time // clock for ages and deadlines; nil for time.Now
+	Look func()           // refreshes Now after a wait; nil for nothing
 }
 
-// Listed tells until when a request may be on its way to an endpoint that is chosen
-// by the present list, zero for no limit; ok is false if that is too old to choose by.
+// Listed returns the latest time to send a request to an endpoint chosen from the current list, zero for no
+// limit; ok is false if the list is too old to choose from.
 type Listed func(now time.Time) (until time.Time, ok bool)
 
-// now returns the present time.
+// now returns the current time.
 func (o *Options) now() time.Time {
 	if o.Now == nil {
 		return time.Now()
@@ -64,7 +64,7 @@
 	return o.Now()
 }
 
-// look returns the present time, brought up to date.
+// look refreshes the clock and returns the current time.
 func (o *Options) look() time.Time {
 	if o.Look != nil {
 		o.Look()
@@ -72,7 +72,7 @@
 	return o.now()
 }
 
-// listed asks Listed, if there is one.
+// listed calls Listed, if set.
 func (o *Options) listed(now time.Time) (until time.Time, ok bool) {
 	if o.Listed == nil {
 		return time.Time{}, true
@@ -80,8 +80,7 @@
 	return o.Listed(now)
 }
 
-// JudgePolicy decides what follows an attempt. It may correct what is known of
-// the request.
+// JudgePolicy decides what follows an attempt. It may correct the Aftermath.
 type JudgePolicy func(now time.Time, a *Aftermath) Verdict
 
 func (o *Options) judge(now time.Time, a *Aftermath) Verdict {
@@ -91,7 +90,7 @@
 	return Classify(now, *a)
 }
 
-// retries returns the retry budget of a service.
+// retries returns a new retry budget for a service.
 func (o *Options) retries() Retries {
 	if o.Retry == nil {
 		return NewBudget()
@@ -99,7 +98,7 @@
 	return NewWindowBudget(*o.Retry)
 }
 
-// Defaults returns the options of an ordinary daemon.
+// Defaults returns the default options of a daemon.
 func Defaults() Options {
 	return Options{
 		Route: RouteOurs, Move: MoveOurs, MaxQueued: 1024,
@@ -117,7 +116,7 @@
 
 func newWorks(o Options) *Works { return &Works{opts: o, byID: make(map[string]*Work)} }
 
-// Get returns the Work of a service, made at its first use.
+// Get returns the Work of a service and creates it at the first use.
 func (w *Works) Get(s *version.Service) *Work {
 	key := s.Key()
 	w.mu.RLock()
@@ -153,14 +152,14 @@
 	return out
 }
 
-// Drop forgets a service that has been withdrawn.
+// Drop removes a service that is no longer configured.
 func (w *Works) Drop(key string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	delete(w.byID, key)
 }
 
-// ByHash returns the view of an endpoint by what names its start, or nil.
+// ByHash returns the endpoint instance with an Endpoint.Hash, or nil.
 func (w *Works) ByHash(hash uint64) *Target {
 	for _, k := range w.All() {
 		if t := k.Pool.view().byHash[hash]; t != nil {
@@ -170,11 +169,11 @@
 	return nil
 }
 
-// noLimit stands for no limit at all.
+// noLimit is a limit that is never reached.
 const noLimit = 1 << 20
 
-// Tick brings everything up to date that changes by time alone. The service's
-// places are shared by so many daemons.
+// Tick updates the state that changes with time. Each service's capacity is shared by the given number of
+// daemons.
 func (w *Works) Tick(now time.Time, daemons int) {
 	for _, k := range w.All() {
 		k.Pool.Tick(now)
@@ -189,7 +188,7 @@
 	}
 }
 
-// Find returns the Work and the view of an endpoint by its box.
+// Find returns the Work and the endpoint of a box, or nil.
 func (w *Works) Find(box string) (*Work, *Target) {
 	for _, k := range w.All() {
 		if t := k.Pool.Get(box); t != nil {
