--- a/request/budget_test.go
+++ b/request/budget_test.go
@@ -15,7 +15,7 @@
 // when all engines rejected a steady load of 142 requests per second and all retries fell into two seconds:
 // the requests that allow retries were counted over 11 one-second buckets (1,562 requests) instead of the
 // window's 10 (1,428).
-func TestRepeatsOfABurstStayWithinTheirBound(t *testing.T) {
+func TestWindowBudgetBoundsRetryBurst(t *testing.T) {
 	const (
 		daemons   = 7
 		perSecond = 20
--- a/request/overload_test.go
+++ b/request/overload_test.go
@@ -34,7 +34,7 @@
 // refused at once. The share of the worth (two seeds, 20 s) is 0.22 and 0.25, 0.41 and 0.48 if routing
 // models only the wait behind other daemons' requests, and 0.32 and 0.36, 0.65 and 0.65 if it also models
 // the delay by prefill. The test requires half of what the engines can deliver.
-func TestTooFewEnginesServeAsManyAsTheyCan(t *testing.T) {
+func TestOverloadedEnginesDeliverHalfTheirCapacity(t *testing.T) {
 	const needed = 50
 	for _, engines := range []int{24, 40} {
 		for seed := range uint64(2) {
--- a/request/placement_test.go
+++ b/request/placement_test.go
@@ -343,7 +343,7 @@
 // tenths of the slots are occupied. The lowest share in time of the three kinds, by seed, is 0.92, 0.94,
 // 0.92 and 0.95 or more if daemons ignore the slots that others occupy, and 0.97, 0.98, 0.98, 0.98 if they
 // model them.
-func TestPromptsGoWherePlacesAreFree(t *testing.T) {
+func TestPromptsAreRoutedToFreeSlots(t *testing.T) {
 	least := map[string]float64{"digest": 0.95, "explain": 0.95, "tag": 0.95}
 	for seed := range uint64(4) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -367,7 +367,7 @@
 // time over three seeds if daemons only know the engines' load reports: digest 0.83 to 0.86, explain 0.89
 // to 0.90, tag 0.98 to 0.99. If they model the slots from other daemons' prompts: digest 0.91 to 0.93,
 // explain 0.97 to 0.98, tag 0.99 to 1.00.
-func TestLongPromptsGoWhereFewRun(t *testing.T) {
+func TestLongPromptsAreRoutedToLightlyLoadedEngines(t *testing.T) {
 	least := map[string]float64{"digest": 0.88, "explain": 0.96, "tag": 0.99}
 	for seed := range uint64(3) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
--- a/request/pool_test.go
+++ b/request/pool_test.go
@@ -12,7 +12,7 @@
 // Guards against rebuilding the sorted list for each added endpoint. A daemon adds all endpoints one by one
 // at its start and after an outage of the store: with a rebuild for each, 2,500 take 14 s of a core, and
 // 210 take 7.7 ms, or 40 ms on a box with a fifth of a core.
-func TestALargeListOfEndpointsIsTakenInQuickly(t *testing.T) {
+func TestAddingManyEndpointsIsFast(t *testing.T) {
 	began := time.Now()
 	p := pool(2500)
 	assert.Len(t, p.Targets(), 2500)
--- a/request/prefillcost_test.go
+++ b/request/prefillcost_test.go
@@ -14,7 +14,7 @@
 
 // The pause that prefill causes in concurrent streams depends on the tokens per event, which differ between
 // deployments and are learnt from the callers' estimates.
-func TestTheTokensOfAnEventAreLearnt(t *testing.T) {
+func TestLearnEventsConvergesOnTokensPerEvent(t *testing.T) {
 	for _, tokens := range []int{3, 8} {
 		var c request.ReadCost
 		before := c.Held(100_000, 100_000)
@@ -31,7 +31,7 @@
 	}
 }
 
-func TestShortAnswersAndMissingGuessesSayNothingOfEvents(t *testing.T) {
+func TestLearnEventsIgnoresShortAnswersAndMissingEstimates(t *testing.T) {
 	var c request.ReadCost
 	before := c.Held(100_000, 100_000)
 	for range 100 {
@@ -52,7 +52,7 @@
 	return time.Duration(took * float64(time.Second))
 }
 
-func TestTheStartIsToldFromReading(t *testing.T) {
+func TestFitSeparatesStartTimeFromPrefill(t *testing.T) {
 	var c request.ReadCost
 	r := rand.New(rand.NewPCG(2, 2))
 	for range 300 {
--- a/request/queue_test.go
+++ b/request/queue_test.go
@@ -96,7 +96,7 @@
 	}
 }
 
-func TestQueueKeepsItsCounts(t *testing.T) {
+func TestQueueInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &queueMachine{limit: rapid.IntRange(2, 8).Draw(t, "limit"), now: start}
 		m.q = request.NewQueue(request.NewLimiter(m.limit, 0), 20)
@@ -105,7 +105,7 @@
 }
 
 // One team sends ten times as many requests as another; both must get an equal share of the service.
-func TestFloodLeavesOthersTheirShare(t *testing.T) {
+func TestFairQueuingUnderFlood(t *testing.T) {
 	q := request.NewQueue(request.NewLimiter(2, 0), 1000)
 	ticket := func(team string) *request.Ticket {
 		return &request.Ticket{Team: team, Weight: 1, Expect: time.Second, Deadline: start.Add(time.Hour)}
@@ -140,7 +140,7 @@
 	assert.LessOrEqual(t, granted["flood"], 30, "granted to the flooding team by the time the small team has its 20")
 }
 
-func TestRefusalsComeAtOnce(t *testing.T) {
+func TestEnterRefusesImmediately(t *testing.T) {
 	q := request.NewQueue(request.NewLimiter(2, 0), 2)
 	enter := func(team string, expect, deadline time.Duration) error {
 		if err := q.Enter(start, &request.Ticket{Team: team, Weight: 1, Expect: expect, Deadline: start.Add(deadline)}); err != nil {
@@ -159,7 +159,7 @@
 	assert.Equal(t, code.DeadlineTooNear, code.Of(enter("b", time.Second, 1100*time.Millisecond)))
 }
 
-func TestLimitFollowsTheEndpoints(t *testing.T) {
+func TestLimiterAdapts(t *testing.T) {
 	l := request.NewLimiter(16, time.Second)
 	now := start
 	for range 200 {
@@ -181,7 +181,7 @@
 	assert.LessOrEqual(t, l.Allowed(), 4)
 }
 
-func TestBudgetIsAShareOfSuccesses(t *testing.T) {
+func TestBudgetIsShareOfSuccesses(t *testing.T) {
 	b := request.NewBudget()
 	spent := 0
 	for b.Left(start) {
@@ -199,7 +199,7 @@
 	assert.InDelta(t, 20, again, 1, "initially %d", spent)
 }
 
-func TestTheUsualPaceIsNotThatOfTheFirstAnswer(t *testing.T) {
+func TestPaceNeedsSeveralAnswers(t *testing.T) {
 	var s request.Speed
 	s.Answered(0, 5*time.Millisecond, 0, 0)
 	assert.Zero(t, s.Pace(true), "a single answer does not establish the usual pace")
--- a/request/route_test.go
+++ b/request/route_test.go
@@ -41,7 +41,7 @@
 	return request.Need{Prefix: prefix | 1, Prompt: 1000, PrefillRate: 20000, Service: time.Second}
 }
 
-func TestDaemonsAgreeOnAPrefixWithoutTalk(t *testing.T) {
+func TestDaemonsRoutePrefixesAlike(t *testing.T) {
 	a, b := pool(100), pool(100)
 	for i := range 200 {
 		x, _ := a.Route(start, need(uint64(i)*7919))
@@ -51,7 +51,7 @@
 }
 
 // Applies random events to endpoints and checks that Route never chooses a leaving or ejected one.
-func TestLeavingAndEjectedGetNothing(t *testing.T) {
+func TestLeavingAndEjectedEndpointsAreNotChosen(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := pool(6)
 		now := start
@@ -97,7 +97,7 @@
 	})
 }
 
-func TestStaleLoadFadesTowardsUnknownNeverIdle(t *testing.T) {
+func TestStaleLoadDecaysTowardsUnknown(t *testing.T) {
 	x := pool(1).Targets()[0]
 	x.Report(start, 0, 16)
 	c, load := x.Class(start)
@@ -111,7 +111,7 @@
 	assert.Equal(t, 15, load)
 }
 
-func TestCacheEventsOnlyLowerWhatIsExpected(t *testing.T) {
+func TestCacheEventsOnlyLowerExpectedHit(t *testing.T) {
 	p := pool(3)
 	c, _ := p.Route(start, need(7919))
 	p.Hit(c.Target, 7919, 0.8)
@@ -126,7 +126,7 @@
 	assert.Equal(t, before.Target, gap.Target, "a lower expected hit alone does not change the choice")
 }
 
-func TestReturnIsGradual(t *testing.T) {
+func TestReadmissionRampsUp(t *testing.T) {
 	p := pool(2)
 	a := p.Targets()[0]
 	a.Report(start, 0, 16)
@@ -144,7 +144,7 @@
 	assert.Less(t, chosen, 10, "limited to a share of its load bound")
 }
 
-func TestPlainCallsStayInTheZoneAndSpill(t *testing.T) {
+func TestPlainCallsPreferTheirZoneAndSpill(t *testing.T) {
 	p := request.NewPool("office/portal", "silom", 16)
 	near := p.Add(request.Endpoint{ID: "near", Zone: "silom"})
 	far := p.Add(request.Endpoint{ID: "far", Zone: "bangna"})
@@ -161,7 +161,7 @@
 // happened when ties were broken by name: each of 16 daemons had at most one request in flight and saw no
 // load anywhere, so that all 2,741 answers came from the first of four endpoints, and one endpoint alone
 // decided a canary evaluation.
-func TestRequestsThatMayNotBeRepeatedAreSpread(t *testing.T) {
+func TestNonReclaimableChoiceIsSpread(t *testing.T) {
 	const endpoints, requests = 4, 400
 	p := request.NewPool("office/portal", "silom", 16)
 	for i := range endpoints {
@@ -181,7 +181,7 @@
 
 // Guards against the same for prompts whose preferred endpoints are over their bounds: many daemons without
 // recent requests would all fall back to the first of the others by name.
-func TestPromptsPushedAsideAreSpread(t *testing.T) {
+func TestFallbackFromPreferredEndpointsIsSpread(t *testing.T) {
 	const endpoints, requests = 12, 400
 	got := make(map[string]int)
 	for i := range uint64(requests) {
