--- a/request/advertised.go
+++ b/request/advertised.go
@@ -10,9 +10,9 @@
 	"streambend.example/pace"
 )
 
-// said is the state that one instance of an endpoint advertises in its answers. It outlives the endpoint's
+// advertisedState is the state that one instance of an endpoint advertises in its answers. It outlives the endpoint's
 // registry entry, which may expire and return while the store is unavailable.
-type said struct {
+type advertisedState struct {
 	asking atomic.Bool // a permit is being requested
 	turn   moment      // no permit is available before then
 	bound  atomic.Bool // it advertises a rate limit
@@ -58,34 +58,34 @@
 
 // Limit returns the rate limit that the endpoint advertises, in requests per second over all daemons.
 func (t *Target) Limit() pace.Limit {
-	t.said.mu.Lock()
-	defer t.said.mu.Unlock()
-	return t.said.limit
+	t.advertised.mu.Lock()
+	defer t.advertised.mu.Unlock()
+	return t.advertised.limit
 }
 
 // NameLimit records the rate limit that an answer of the endpoint advertises, 0 for none. It reports
 // whether to announce it to other daemons.
 func (t *Target) NameLimit(perSecond float64) (l pace.Limit, tell bool) {
-	t.said.mu.Lock()
-	defer t.said.mu.Unlock()
-	l, tell = t.said.limit.Say(perSecond)
-	t.said.set(l)
+	t.advertised.mu.Lock()
+	defer t.advertised.mu.Unlock()
+	l, tell = t.advertised.limit.Say(perSecond)
+	t.advertised.set(l)
 	return l, tell
 }
 
 // HearLimit records a limit announced by another daemon, and reports whether it supersedes the known one.
 func (t *Target) HearLimit(l pace.Limit) bool {
-	t.said.mu.Lock()
-	defer t.said.mu.Unlock()
-	if !l.Over(t.said.limit) {
+	t.advertised.mu.Lock()
+	defer t.advertised.mu.Unlock()
+	if !l.Over(t.advertised.limit) {
 		return false
 	}
-	t.said.set(l)
+	t.advertised.set(l)
 	return true
 }
 
 // set replaces the limit; the caller holds the lock. Without a limit, no wait for a permit remains.
-func (s *said) set(l pace.Limit) {
+func (s *advertisedState) set(l pace.Limit) {
 	s.limit = l
 	s.bound.Store(l.Named())
 	if !l.Named() {
@@ -94,7 +94,7 @@
 }
 
 // refuse records when a permit is available again after a refusal.
-func (s *said) refuse(now time.Time, g pace.Grant) {
+func (s *advertisedState) refuse(now time.Time, g pace.Grant) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.limit.Named() {
@@ -104,7 +104,7 @@
 }
 
 // unbelieved records an invalid value, and reports whether it differs from the last one of its kind.
-func (s *said) unbelieved(b pace.Bad) bool {
+func (s *advertisedState) unbelieved(b pace.Bad) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.bad[b.What] == b.Value {
@@ -122,7 +122,7 @@
 
 // takesFrom returns when the endpoint accepts a request according to its advertised state; shut is false if
 // it does so now.
-func (s *said) takesFrom(now time.Time) (at time.Time, shut bool) {
+func (s *advertisedState) takesFrom(now time.Time) (at time.Time, shut bool) {
 	wait := s.rest.left(now)
 	if s.bound.Load() {
 		wait = max(wait, s.turn.left(now))
@@ -134,7 +134,7 @@
 }
 
 // gapNow returns the interval of this daemon's requests under the limit, 0 for an endpoint without one.
-func (s *said) gapNow() time.Duration {
+func (s *advertisedState) gapNow() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.limit.Named() {
@@ -147,7 +147,7 @@
 func (w *Works) Limited() (n int) {
 	for _, k := range w.All() {
 		for _, t := range k.Pool.Targets() {
-			if t.said.bound.Load() {
+			if t.advertised.bound.Load() {
 				n++
 			}
 		}
@@ -161,22 +161,22 @@
 // saidMemory holds the advertised state of endpoints without a registry entry. The zero value is ready to
 // use.
 type saidMemory struct {
-	byHash map[uint64]*said
+	byHash map[uint64]*advertisedState
 }
 
 // keep stores the state of an endpoint instance; a full memory is emptied first.
-func (m *saidMemory) keep(hash uint64, s *said) {
+func (m *saidMemory) keep(hash uint64, s *advertisedState) {
 	if m.byHash == nil || len(m.byHash) >= saidMost {
-		m.byHash = make(map[uint64]*said)
+		m.byHash = make(map[uint64]*advertisedState)
 	}
 	m.byHash[hash] = s
 }
 
 // take removes and returns the stored state of an endpoint instance, or returns an empty one.
-func (m *saidMemory) take(hash uint64) *said {
+func (m *saidMemory) take(hash uint64) *advertisedState {
 	s := m.byHash[hash]
 	if s == nil {
-		return &said{}
+		return &advertisedState{}
 	}
 	delete(m.byHash, hash)
 	return s
@@ -191,14 +191,14 @@
 		if t.out.Load() || !t.takes(n.Trial) {
 			continue
 		}
-		from, shut := t.said.takesFrom(now)
+		from, shut := t.advertised.takesFrom(now)
 		if !shut {
 			continue
 		}
 		if !ok || from.Before(at) {
 			at, ok = from, true
 		}
-		if g := t.said.gapNow(); g > 0 {
+		if g := t.advertised.gapNow(); g > 0 {
 			perSecond += 1 / g.Seconds()
 		}
 	}
--- a/request/backlog.go
+++ b/request/backlog.go
@@ -35,7 +35,7 @@
 // Backlog estimates the pending prefill work of an engine and the parts in its prefix cache. It is modelled
 // from what the daemons have sent there, since an engine's own report is stale on arrival.
 type Backlog struct {
-	cost *ReadCost // of the service's engines
+	cost *PrefillCost // of the service's engines
 
 	mu     sync.Mutex
 	left   time.Duration // pending prefill time at the time at
@@ -47,7 +47,7 @@
 	memory int // capacity for cached tokens; 0 for no bound
 }
 
-func newBacklog(cost *ReadCost, memory int) *Backlog {
+func newBacklog(cost *PrefillCost, memory int) *Backlog {
 	b := &Backlog{cost: cost, pace: 1, memory: int(cacheShare * float64(memory))}
 	b.parts, _ = simplelru.NewLRU(cacheParts, func(_ uint64, tokens int) { b.kept -= tokens }) // fails only for a size below 1
 	return b
@@ -77,22 +77,22 @@
 	return b.added - b.left
 }
 
-// Reading is the estimated prefill of one prompt at an engine.
-type Reading struct {
-	Wait   time.Duration // until prefill begins
-	Own    time.Duration // prefill of the tokens that are not cached
-	Start  time.Duration // from the end of prefill to the first event
-	Fresh  int           // tokens that are not cached
-	Shared int           // the part of Fresh that other requests share
-	Held   time.Duration // longest pause that the prefill causes in concurrent streams
+// PrefillEstimate is the estimated prefill of one prompt at an engine.
+type PrefillEstimate struct {
+	Wait     time.Duration // until prefill begins
+	Own      time.Duration // prefill of the tokens that are not cached
+	Start    time.Duration // from the end of prefill to the first event
+	Fresh    int           // tokens that are not cached
+	Shared   int           // the part of Fresh that other requests share
+	MaxPause time.Duration // longest pause that the prefill causes in concurrent streams
 }
 
-// Read estimates the prefill of a prompt at the engine.
-func (b *Backlog) Read(now time.Time, parts []Part) Reading {
+// Estimate estimates the prefill of a prompt at the engine.
+func (b *Backlog) Estimate(now time.Time, parts []Part) PrefillEstimate {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.drain(now)
-	r := Reading{Wait: b.left}
+	r := PrefillEstimate{Wait: b.left}
 	kept, total := true, 0
 	for i, p := range parts {
 		total += p.Tokens
@@ -107,7 +107,7 @@
 	}
 	r.Start = b.cost.Start()
 	r.Own = time.Duration(b.pace * float64(b.cost.Time(r.Fresh, total)))
-	r.Held = time.Duration(b.pace * float64(b.cost.Held(r.Fresh, total)))
+	r.MaxPause = time.Duration(b.pace * float64(b.cost.MaxPause(r.Fresh, total)))
 	return r
 }
 
@@ -308,7 +308,7 @@
 		if !t.open(n) {
 			continue
 		}
-		r := t.backlog.Read(now, n.Parts)
+		r := t.backlog.Estimate(now, n.Parts)
 		place := t.slotWait(now, n)
 		first := max(r.Wait, place) + r.Own + r.Start
 		if !n.Without.On(mechanism.PlaceQueue) {
@@ -323,7 +323,7 @@
 			score -= homeHit[place] * (1 + rereadWeight) * shared
 		}
 		score += tieBreak * float64(mix(n.Draw, t.hash)%1024) / 1024
-		holds := n.Pause > 0 && n.Without.On(mechanism.SetApart) && float64(r.Held) > heldShare*float64(n.Pause)
+		holds := n.Pause > 0 && n.Without.On(mechanism.SetApart) && float64(r.MaxPause) > heldShare*float64(n.Pause)
 		switch {
 		case holds:
 			score += heldCost * float64(t.running(now))
@@ -336,7 +336,7 @@
 		}
 		if score < best {
 			best = score
-			c = Choice{Target: t, Load: int(t.load.Load()), Reading: r, Place: place, First: first, Why: "read soonest"}
+			c = Choice{Target: t, Load: int(t.load.Load()), PrefillEstimate: r, Place: place, First: first, Why: "read soonest"}
 			if holds {
 				c.Why = "holds others up, few run beside"
 			}
--- a/request/endpointstate.go
+++ b/request/endpointstate.go
@@ -30,16 +30,16 @@
 
 // Word returns the known advertised state of the endpoint.
 func (t *Target) Word(now time.Time) Word {
-	t.said.mu.Lock()
-	defer t.said.mu.Unlock()
-	rest := max(t.said.rest.left(now), t.said.othersRest.left(now))
-	return Word{Endpoint: t.hash, Limit: t.said.limit, Leaves: t.said.leaves, Rest: rest}
+	t.advertised.mu.Lock()
+	defer t.advertised.mu.Unlock()
+	rest := max(t.advertised.rest.left(now), t.advertised.othersRest.left(now))
+	return Word{Endpoint: t.hash, Limit: t.advertised.limit, Leaves: t.advertised.leaves, Rest: rest}
 }
 
 // HearWord merges the state announced by another daemon. An endpoint that leaves ends after left.
 func (t *Target) HearWord(now time.Time, w Word, left time.Duration) {
 	t.HearLimit(w.Limit)
-	t.said.othersRest.extend(now.Add(w.Rest))
+	t.advertised.othersRest.extend(now.Add(w.Rest))
 	if w.Leaves {
 		t.SayLeaving(now, left)
 	}
@@ -48,10 +48,10 @@
 // SayLeaving records that the endpoint itself advertises that it leaves, and reports whether that is new. It
 // overrides the registry entry of this instance.
 func (t *Target) SayLeaving(now time.Time, left time.Duration) (fresh bool) {
-	t.said.mu.Lock()
-	fresh = !t.said.leaves
-	t.said.leaves = true
-	t.said.mu.Unlock()
+	t.advertised.mu.Lock()
+	fresh = !t.advertised.leaves
+	t.advertised.leaves = true
+	t.advertised.mu.Unlock()
 	t.Leave(now.Add(left))
 	return fresh
 }
@@ -59,7 +59,7 @@
 // SayRest records that the endpoint asked this daemon to back off for d. It reports whether to announce it
 // to other daemons, which is not needed while a back-off is already known.
 func (t *Target) SayRest(now time.Time, d time.Duration) (tell bool) {
-	tell = t.said.rest.left(now) == 0 && t.said.othersRest.left(now) == 0
-	t.said.rest.extend(now.Add(d))
+	tell = t.advertised.rest.left(now) == 0 && t.advertised.othersRest.left(now) == 0
+	t.advertised.rest.extend(now.Add(d))
 	return tell
 }
--- a/request/permit.go
+++ b/request/permit.go
@@ -24,7 +24,7 @@
 // permit reports whether the request may be sent to the chosen endpoint: it takes a permit if the endpoint
 // advertises a rate limit.
 func (r *run) permit(ctx context.Context, c *Choice) bool {
-	s := c.Target.said
+	s := c.Target.advertised
 	if r.opts.Permits == nil || !s.bound.Load() {
 		return true
 	}
@@ -95,7 +95,7 @@
 // logBad logs invalid advertised values, unless the value was the last one logged for its kind.
 func (r *run) logBad(t *Target, bad []pace.Bad) {
 	for _, b := range bad {
-		if t.said.unbelieved(b) {
+		if t.advertised.unbelieved(b) {
 			r.log.WithFields(logrus.Fields{"endpoint": t.ID, "value": b.Value, "request": r.r.ID}).
 				Warnf("ignored an invalid %s advertised by the endpoint", b.What)
 		}
--- a/request/pool.go
+++ b/request/pool.go
@@ -36,7 +36,7 @@
 	ticked time.Time
 
 	hits  hitMemory
-	cost  ReadCost
+	cost  PrefillCost
 	holds holdTime
 
 	promises promises     // retry times given to callers refused at the endpoints' rate limits
@@ -100,7 +100,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if t, ok := p.byID[id]; ok {
-		p.past.keep(t.hash, t.said)
+		p.past.keep(t.hash, t.advertised)
 		delete(p.byID, id)
 		p.list.Store(nil)
 	}
--- a/request/prefillcost.go
+++ b/request/prefillcost.go
@@ -39,12 +39,12 @@
 	eventLeast  = 8
 )
 
-// ReadCost models the time to the first event of an answer at the engines of a service: a time per prompt
+// PrefillCost models the time to the first event of an answer at the engines of a service: a time per prompt
 // token, a time per pair of a token and an earlier one, and a start time during which the engine can
 // already process the next prompt. It is fitted by least squares to prompts that were sent to an idle
 // engine. Without the start time, the model gave 72 ms of prefill for 4,000 tokens where engines took 45
 // ms.
-type ReadCost struct {
+type PrefillCost struct {
 	NoStart bool // counts the start time as prefill, for comparison
 
 	mu    sync.Mutex
@@ -91,7 +91,7 @@
 
 // solved returns the fitted coefficients; the caller holds the lock. They are cached until the next sample,
 // since every routing decision needs them for every engine.
-func (c *ReadCost) solved() coefficients {
+func (c *PrefillCost) solved() coefficients {
 	if !c.fresh {
 		c.known, c.fresh = c.solve(), true
 	}
@@ -99,7 +99,7 @@
 }
 
 // solve fits the coefficients by Cramer's rule. Each prior acts as samples of its variable alone.
-func (c *ReadCost) solve() coefficients {
+func (c *PrefillCost) solve() coefficients {
 	f, priorStart := c.fit, float64(priorStarts)
 	guess := [3]float64{readStart, readToken * 1e3, readPair}
 	if c.NoStart {
@@ -127,7 +127,7 @@
 }
 
 // Time returns the prefill time of the last fresh tokens of a prompt.
-func (c *ReadCost) Time(fresh, total int) time.Duration {
+func (c *PrefillCost) Time(fresh, total int) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	k := c.solved()
@@ -135,19 +135,19 @@
 }
 
 // Start returns the part of the time to the first event that is not prefill.
-func (c *ReadCost) Start() time.Duration {
+func (c *PrefillCost) Start() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return time.Duration(c.solved().start * float64(time.Second))
 }
 
-// Held returns the longest pause that a prompt's prefill causes in concurrent streams: the time of as many
+// MaxPause returns the longest pause that a prompt's prefill causes in concurrent streams: the time of as many
 // of the last chunks as an event has decode steps.
-func (c *ReadCost) Held(fresh, total int) time.Duration {
+func (c *PrefillCost) MaxPause(fresh, total int) time.Duration {
 	return c.Time(min(fresh, int(c.eventTokens()*chunkTokens)), total)
 }
 
-func (c *ReadCost) eventTokens() float64 {
+func (c *PrefillCost) eventTokens() float64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.event == 0 {
@@ -159,7 +159,7 @@
 // LearnEvents updates the tokens per event from a complete answer and the number of tokens that its caller
 // had expected. Such an estimate may be far off but is right at the median, to which steps of equal size
 // converge.
-func (c *ReadCost) LearnEvents(tokens, events int) {
+func (c *PrefillCost) LearnEvents(tokens, events int) {
 	if tokens <= 0 || events < eventLeast {
 		return
 	}
@@ -176,7 +176,7 @@
 }
 
 // Learn adds the time to the first event of a prompt that was sent to an idle engine.
-func (c *ReadCost) Learn(fresh, total int, took time.Duration) {
+func (c *PrefillCost) Learn(fresh, total int, took time.Duration) {
 	if c.NoStart && fresh < sampleLeast {
 		return
 	}
@@ -194,7 +194,7 @@
 }
 
 // Count adds the prefill time of a prompt that was sent to an engine.
-func (c *ReadCost) Count(d time.Duration) {
+func (c *PrefillCost) Count(d time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.total += d
@@ -208,7 +208,7 @@
 }
 
 // Times returns the mean prefill time of recently sent prompts and its squared coefficient of variation.
-func (c *ReadCost) Times() (mean time.Duration, spread float64) {
+func (c *PrefillCost) Times() (mean time.Duration, spread float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.mean <= 0 {
@@ -218,7 +218,7 @@
 }
 
 // Counted returns the total prefill time of all prompts sent to the engines.
-func (c *ReadCost) Counted() time.Duration {
+func (c *PrefillCost) Counted() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.total
--- a/request/prefillcost_test.go
+++ b/request/prefillcost_test.go
@@ -16,8 +16,8 @@
 // deployments and are learnt from the callers' estimates.
 func TestLearnEventsConvergesOnTokensPerEvent(t *testing.T) {
 	for _, tokens := range []int{3, 8} {
-		var c request.ReadCost
-		before := c.Held(100_000, 100_000)
+		var c request.PrefillCost
+		before := c.MaxPause(100_000, 100_000)
 		r := rand.New(rand.NewPCG(1, uint64(tokens)))
 		for range 200 {
 			events := 10 + r.IntN(60)
@@ -26,19 +26,19 @@
 		}
 		// The longest pause is the time of as many chunks as an event has tokens.
 		one := c.Time(4096, 100_000)
-		assert.InDelta(t, float64(tokens), float64(c.Held(100_000, 100_000))/float64(one), 1.2, "%d tokens an event", tokens)
-		assert.NotEqual(t, before, c.Held(100_000, 100_000))
+		assert.InDelta(t, float64(tokens), float64(c.MaxPause(100_000, 100_000))/float64(one), 1.2, "%d tokens an event", tokens)
+		assert.NotEqual(t, before, c.MaxPause(100_000, 100_000))
 	}
 }
 
 func TestLearnEventsIgnoresShortAnswersAndMissingEstimates(t *testing.T) {
-	var c request.ReadCost
-	before := c.Held(100_000, 100_000)
+	var c request.PrefillCost
+	before := c.MaxPause(100_000, 100_000)
 	for range 100 {
 		c.LearnEvents(0, 50)
 		c.LearnEvents(400, 2)
 	}
-	assert.Equal(t, before, c.Held(100_000, 100_000))
+	assert.Equal(t, before, c.MaxPause(100_000, 100_000))
 }
 
 // engine simulates the time to the first event of an engine with a start time of 30 ms, a prefill rate of
@@ -53,7 +53,7 @@
 }
 
 func TestFitSeparatesStartTimeFromPrefill(t *testing.T) {
-	var c request.ReadCost
+	var c request.PrefillCost
 	r := rand.New(rand.NewPCG(2, 2))
 	for range 300 {
 		fresh := 200 + r.IntN(1500)
--- a/request/queue.go
+++ b/request/queue.go
@@ -21,11 +21,11 @@
 	Target      time.Time     // when the answer is wanted; zero for no target before the deadline
 	Deadline    time.Time     // after which the answer is useless
 
-	ready  chan struct{}
-	err    *code.Error
-	tag    float64 // virtual finish time
-	queued bool
-	held   bool // granted and not yet given back
+	ready     chan struct{}
+	err       *code.Error
+	finishTag float64 // virtual finish time
+	queued    bool
+	granted   bool // granted and not yet given back
 }
 
 // Ready returns a channel that is closed once the ticket is granted or refused; Err then tells which.
@@ -34,14 +34,14 @@
 // Err returns why the ticket was refused, or nil once it was granted.
 func (t *Ticket) Err() *code.Error { return t.err }
 
-// inTime reports whether the ticket, granted after wait, completes by its target.
-func (t *Ticket) inTime(now time.Time, wait time.Duration) bool {
+// meetsTarget reports whether the ticket, granted after wait, completes by its target.
+func (t *Ticket) meetsTarget(now time.Time, wait time.Duration) bool {
 	need := time.Duration(expectMargin * float64(t.Expect))
 	return t.Target.IsZero() || !now.Add(wait+need).After(t.Target)
 }
 
-// hopeless reports whether the ticket, granted after wait, completes only after its deadline.
-func (t *Ticket) hopeless(now time.Time, wait time.Duration) bool {
+// missesDeadline reports whether the ticket, granted after wait, completes only after its deadline.
+func (t *Ticket) missesDeadline(now time.Time, wait time.Duration) bool {
 	return now.Add(wait + t.Expect).After(t.Deadline)
 }
 
@@ -53,15 +53,15 @@
 	lateShare = 0.05
 	// expectMargin is the safety factor on the expected service time in the check against the target.
 	expectMargin = 1.2
-	// patientShare is the share of the limit that deferrable work may always use.
-	patientShare = 0.2
-	// beyondShare and beyondLeast are by how much interactive work may exceed the limit, as a share of it
+	// deferrableShare is the share of the limit that deferrable work may always use.
+	deferrableShare = 0.2
+	// interactiveExcess and interactiveExcessMin are by how much interactive work may exceed the limit, as a share of it
 	// and at least. The engines honour priorities, and their queue, shared by all daemons, has a free slot
 	// sooner than the few slots of one daemon.
-	beyondShare = 0.5
-	beyondLeast = 2
-	// meanTime is the time constant of the average of interactive requests.
-	meanTime = 3 * time.Second
+	interactiveExcess    = 0.5
+	interactiveExcessMin = 2
+	// interactiveMeanTime is the time constant of the average of interactive requests.
+	interactiveMeanTime = 3 * time.Second
 )
 
 // flowKey identifies a flow.
@@ -78,7 +78,7 @@
 	tickets     []*Ticket
 	late        []*Ticket
 	credit      float64 // seconds of service due to late tickets
-	last        float64 // virtual finish time of the last ticket granted or entered
+	lastFinish  float64 // virtual finish time of the last ticket granted or entered
 	running     int     // granted tickets
 }
 
@@ -99,14 +99,14 @@
 	Limit     *Limiter
 	MaxQueued int
 
-	mu       sync.Mutex
-	flows    map[flowKey]*flow
-	running  int
-	patient  int // running tickets that are not interactive
-	queued   int
-	virtual  float64   // virtual time of the fair queue
-	mean     float64   // moving average of the interactive requests that run or wait
-	observed time.Time // when mean was last updated
+	mu                sync.Mutex
+	flows             map[flowKey]*flow
+	running           int
+	runningDeferrable int // running tickets that are not interactive
+	queued            int
+	virtualTime       float64   // virtual time of the fair queue
+	interactiveMean   float64   // moving average of the interactive requests that run or wait
+	observed          time.Time // when mean was last updated
 }
 
 // NewQueue returns an empty queue.
@@ -119,11 +119,11 @@
 func (q *Queue) Enter(now time.Time, t *Ticket) *code.Error {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.observe(now)
+	q.updateMean(now)
 	t.ready = make(chan struct{})
 	f := q.flow(t)
-	q.fill(now) // what may run also changes with time alone
-	if t.hopeless(now, 0) {
+	q.grantQueued(now) // what may run also changes with time alone
+	if t.missesDeadline(now, 0) {
 		return code.New(code.DeadlineTooNear, "%s left, about %s required", t.Deadline.Sub(now).Round(time.Millisecond), t.Expect.Round(time.Millisecond))
 	}
 	if q.mayRun(f) && q.earliest() == nil {
@@ -131,14 +131,14 @@
 		return nil
 	}
 	wait := q.wait(f, t)
-	late := !t.inTime(now, wait)
+	late := !t.meetsTarget(now, wait)
 	if late {
 		wait = q.lateWait(f, t)
 	}
-	if t.hopeless(now, wait) {
+	if t.missesDeadline(now, wait) {
 		return code.New(code.DeadlineTooNear, "estimated queue wait of %s", wait.Round(time.Millisecond)).After(wait)
 	}
-	if q.queued >= q.MaxQueued && !q.makeRoom(f, wait) {
+	if q.queued >= q.MaxQueued && !q.evictFor(f, wait) {
 		return code.New(code.QueueFull, "%d requests queued", q.queued).After(max(wait/2, 100*time.Millisecond))
 	}
 	q.push(f, t, late)
@@ -159,8 +159,8 @@
 	return f
 }
 
-// observe updates the average of the interactive requests. It is called before their number changes.
-func (q *Queue) observe(now time.Time) {
+// updateMean updates the average of the interactive requests. It is called before their number changes.
+func (q *Queue) updateMean(now time.Time) {
 	n := 0
 	for _, g := range q.flows {
 		if g.interactive {
@@ -169,7 +169,7 @@
 	}
 	dt := now.Sub(q.observed)
 	q.observed = now
-	q.mean += (float64(n) - q.mean) * (1 - math.Exp(-dt.Seconds()/meanTime.Seconds()))
+	q.interactiveMean += (float64(n) - q.interactiveMean) * (1 - math.Exp(-dt.Seconds()/interactiveMeanTime.Seconds()))
 }
 
 // mayRun reports whether a ticket of the flow may be granted. Interactive work may exceed the limit.
@@ -177,15 +177,15 @@
 // its own slots are released too rarely for interactive work to wait for; a small share is always its own.
 func (q *Queue) mayRun(f *flow) bool {
 	limit := q.Limit.Allowed()
-	beyond := limit + max(beyondLeast, int(beyondShare*float64(limit)))
+	beyond := limit + max(interactiveExcessMin, int(interactiveExcess*float64(limit)))
 	switch {
 	case q.running >= beyond:
 		return false
 	case f.interactive:
 		return true
 	}
-	left := float64(limit) - q.mean - math.Sqrt(q.mean)
-	return float64(q.patient) < math.Max(math.Max(1, patientShare*float64(limit)), left)
+	left := float64(limit) - q.interactiveMean - math.Sqrt(q.interactiveMean)
+	return float64(q.runningDeferrable) < math.Max(math.Max(1, deferrableShare*float64(limit)), left)
 }
 
 // rate returns the seconds of service that a flow receives per second.
@@ -220,9 +220,9 @@
 	return time.Duration(float64(own) / (lateShare * q.rate(f)))
 }
 
-// makeRoom refuses the newest ticket of the flow with the most waiting tickets relative to its weight, and
+// evictFor refuses the newest ticket of the flow with the most waiting tickets relative to its weight, and
 // reports whether it did: if that flow is f itself, nothing is refused.
-func (q *Queue) makeRoom(f *flow, wait time.Duration) bool {
+func (q *Queue) evictFor(f *flow, wait time.Duration) bool {
 	most := f
 	for _, g := range q.flows {
 		if float64(g.waiting())/g.weight > float64(most.waiting()+1)/most.weight {
@@ -241,7 +241,7 @@
 }
 
 func (q *Queue) push(f *flow, t *Ticket, late bool) {
-	q.tag(f, t)
+	q.assignFinishTag(f, t)
 	t.queued = true
 	q.queued++
 	if late {
@@ -255,24 +255,24 @@
 	f.tickets = slices.Insert(f.tickets, i, t)
 }
 
-// tag assigns the ticket's virtual finish time.
-func (q *Queue) tag(f *flow, t *Ticket) {
-	t.tag = max(q.virtual, f.last) + t.Expect.Seconds()/f.weight
-	f.last = t.tag
+// assignFinishTag assigns the ticket's virtual finish time.
+func (q *Queue) assignFinishTag(f *flow, t *Ticket) {
+	t.finishTag = max(q.virtualTime, f.lastFinish) + t.Expect.Seconds()/f.weight
+	f.lastFinish = t.finishTag
 }
 
 func (q *Queue) grant(f *flow, t *Ticket) {
 	q.running++
 	f.running++
 	if !f.interactive {
-		q.patient++
+		q.runningDeferrable++
 	}
-	t.held, t.queued = true, false
+	t.granted, t.queued = true, false
 	close(t.ready)
 }
 
-// take removes the ticket at i from a list.
-func (q *Queue) take(line *[]*Ticket, i int) *Ticket {
+// dequeue removes the ticket at i from a list.
+func (q *Queue) dequeue(line *[]*Ticket, i int) *Ticket {
 	t := (*line)[i]
 	*line = slices.Delete(*line, i, i+1)
 	q.queued--
@@ -281,7 +281,7 @@
 }
 
 func (q *Queue) refuse(line *[]*Ticket, i int, err *code.Error) {
-	t := q.take(line, i)
+	t := q.dequeue(line, i)
 	t.err = err
 	close(t.ready)
 }
@@ -290,26 +290,26 @@
 func (q *Queue) Leave(now time.Time, t *Ticket) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.observe(now)
+	q.updateMean(now)
 	k := flowKey{t.Team, t.Interactive}
 	f := q.flows[k]
 	switch {
-	case t.held:
-		t.held = false
+	case t.granted:
+		t.granted = false
 		q.running--
 		f.running--
 		if !f.interactive {
-			q.patient--
+			q.runningDeferrable--
 		}
 	case t.queued:
 		for _, line := range []*[]*Ticket{&f.tickets, &f.late} {
 			if i := slices.Index(*line, t); i >= 0 {
-				q.take(line, i)
+				q.dequeue(line, i)
 			}
 		}
 	}
-	q.fill(now)
-	if f != nil && f.waiting() == 0 && f.running == 0 && f.last <= q.virtual {
+	q.grantQueued(now)
+	if f != nil && f.waiting() == 0 && f.running == 0 && f.lastFinish <= q.virtualTime {
 		delete(q.flows, k)
 	}
 }
@@ -321,35 +321,35 @@
 	for _, f := range q.flows {
 		for _, line := range []*[]*Ticket{&f.tickets, &f.late} {
 			for i := len(*line) - 1; i >= 0; i-- {
-				if t := (*line)[i]; t.hopeless(now, 0) {
+				if t := (*line)[i]; t.missesDeadline(now, 0) {
 					q.refuse(line, i, code.New(code.DeadlineTooNear, "deadline can no longer be met").After(t.Expect))
 				}
 			}
 		}
 	}
-	q.fill(now)
+	q.grantQueued(now)
 }
 
-// fill grants queued tickets, in order of virtual finish time, as long as any may run.
-func (q *Queue) fill(now time.Time) {
+// grantQueued grants queued tickets, in order of virtual finish time, as long as any may run.
+func (q *Queue) grantQueued(now time.Time) {
 	for q.queued > 0 {
 		f := q.earliest()
 		if f == nil {
 			return
 		}
 		line := f.next()
-		if line == &f.tickets && !f.tickets[0].inTime(now, 0) {
+		if line == &f.tickets && !f.tickets[0].meetsTarget(now, 0) {
 			q.demote(now, f)
 			continue
 		}
-		t := q.take(line, 0)
+		t := q.dequeue(line, 0)
 		cost := t.Expect.Seconds()
 		if line == &f.late {
 			f.credit = max(0, f.credit-cost)
 		} else if len(f.late) > 0 {
 			f.credit += lateShare * cost
 		}
-		q.virtual = max(q.virtual, t.tag-cost/f.weight)
+		q.virtualTime = max(q.virtualTime, t.finishTag-cost/f.weight)
 		q.grant(f, t)
 	}
 }
@@ -358,7 +358,7 @@
 // refuses it if it would miss its deadline there.
 func (q *Queue) demote(now time.Time, f *flow) {
 	t := f.tickets[0]
-	if wait := q.lateWait(f, t); t.hopeless(now, wait) {
+	if wait := q.lateWait(f, t); t.missesDeadline(now, wait) {
 		q.refuse(&f.tickets, 0, code.New(code.DeadlineTooNear, "estimated queue wait of %s", wait.Round(time.Millisecond)).After(wait))
 		return
 	}
@@ -375,7 +375,7 @@
 		if f.waiting() == 0 || !q.mayRun(f) {
 			continue
 		}
-		if x := (*f.next())[0].tag; best == nil || x < tag {
+		if x := (*f.next())[0].finishTag; best == nil || x < tag {
 			best, tag = f, x
 		}
 	}
--- a/request/route.go
+++ b/request/route.go
@@ -49,7 +49,7 @@
 	Load   int
 	Bound  int // load bound that was applied
 	Why    string
-	Reading
+	PrefillEstimate
 	Place  time.Duration // estimated wait for a free slot there
 	First  time.Duration // expected time to the first event; 0 if not known
 	Until  time.Time     // latest time to send the request; zero for no limit
@@ -125,10 +125,10 @@
 	if t.out.Load() && !(n.Ejected && t.soft.Load()) || t == n.Avoid || !t.takes(n.Trial) {
 		return false
 	}
-	if !n.Rested && t.said.othersRest.left(n.At) > 0 {
+	if !n.Rested && t.advertised.othersRest.left(n.At) > 0 {
 		return false
 	}
-	_, shut := t.said.takesFrom(n.At)
+	_, shut := t.advertised.takesFrom(n.At)
 	return !shut
 }
 
--- a/request/slotusage.go
+++ b/request/slotusage.go
@@ -8,11 +8,11 @@
 	"time"
 )
 
-// Places estimates which slots of an engine are occupied by requests of other daemons. An engine reports
+// SlotUsage estimates which slots of an engine are occupied by requests of other daemons. An engine reports
 // its load only in its answers: with 295 daemons and 80 engines, a daemon receives a report of an engine
 // every half minute, while a request occupies its slot for two seconds. In the zero value all slots are
 // free.
-type Places struct {
+type SlotUsage struct {
 	mu   sync.Mutex
 	ends []time.Time // expected release times of the occupied slots, sorted
 }
@@ -20,7 +20,7 @@
 // Take records that a request occupies a slot for hold, starting at about from, at an engine with so many
 // slots for requests of other daemons. If all are occupied, it starts when the next is released, after
 // earlier requests.
-func (p *Places) Take(now, from time.Time, hold time.Duration, places int) {
+func (p *SlotUsage) Take(now, from time.Time, hold time.Duration, places int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.drop(now)
@@ -33,7 +33,7 @@
 }
 
 // Delay postpones the release of all occupied slots.
-func (p *Places) Delay(by time.Duration) {
+func (p *SlotUsage) Delay(by time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for i := range p.ends {
@@ -42,7 +42,7 @@
 }
 
 // drop removes the slots that have been released by now; the caller holds the lock.
-func (p *Places) drop(now time.Time) {
+func (p *SlotUsage) drop(now time.Time) {
 	free := 0
 	for free < len(p.ends) && !p.ends[free].After(now) {
 		free++
@@ -52,7 +52,7 @@
 
 // Told corrects the estimate by the engine's own report of how many slots others occupy: the excess ones,
 // those with the earliest release times, are dropped.
-func (p *Places) Told(now time.Time, taken int) {
+func (p *SlotUsage) Told(now time.Time, taken int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.drop(now)
@@ -62,7 +62,7 @@
 }
 
 // Taken returns the number of slots occupied by others.
-func (p *Places) Taken(now time.Time) int {
+func (p *SlotUsage) Taken(now time.Time) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.drop(now)
@@ -70,7 +70,7 @@
 }
 
 // Wait returns how long a request waits for a slot, out of so many that others may occupy.
-func (p *Places) Wait(now time.Time, places int) time.Duration {
+func (p *SlotUsage) Wait(now time.Time, places int) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.drop(now)
--- a/request/target.go
+++ b/request/target.go
@@ -60,21 +60,21 @@
 // Target is this daemon's view of one instance (one process start) of an endpoint.
 type Target struct {
 	Endpoint
-	hash    uint64
-	mine    atomic.Int32  // in-flight requests of this daemon
-	load    atomic.Int32  // estimated in-flight requests of all daemons
-	out     atomic.Bool   // excluded from routing: leaving or ejected
-	soft    atomic.Bool   // ejected only because requests failed that it had accepted
-	ramp    atomic.Uint32 // share of the load bound allowed after an ejection, as float bits
-	said    *said
-	backlog *Backlog
-	holds   *holdTime     // of the service
-	places  Places        // slots used by other daemons
-	answers atomic.Bool   // it has completed a request of this daemon
-	over    atomic.Bool   // the endpoint has restarted since
-	role    atomic.Int32  // rollout.Role of its version
-	resting atomic.Bool   // canary instance without traffic, as others suffice for the evaluation
-	sent    atomic.Uint32 // decaying count of requests sent by this daemon, as float bits
+	hash       uint64
+	mine       atomic.Int32  // in-flight requests of this daemon
+	load       atomic.Int32  // estimated in-flight requests of all daemons
+	out        atomic.Bool   // excluded from routing: leaving or ejected
+	soft       atomic.Bool   // ejected only because requests failed that it had accepted
+	ramp       atomic.Uint32 // share of the load bound allowed after an ejection, as float bits
+	advertised *advertisedState
+	backlog    *Backlog
+	holds      *holdTime     // of the service
+	places     SlotUsage     // slots used by other daemons
+	answers    atomic.Bool   // it has completed a request of this daemon
+	over       atomic.Bool   // the endpoint has restarted since
+	role       atomic.Int32  // rollout.Role of its version
+	resting    atomic.Bool   // canary instance without traffic, as others suffice for the evaluation
+	sent       atomic.Uint32 // decaying count of requests sent by this daemon, as float bits
 
 	mu       sync.Mutex
 	class    Class
@@ -102,12 +102,12 @@
 )
 
 // newTarget returns the view of an endpoint without any report.
-func newTarget(e Endpoint, batch int, cost *ReadCost, holds *holdTime, s *said) *Target {
+func newTarget(e Endpoint, batch int, cost *PrefillCost, holds *holdTime, s *advertisedState) *Target {
 	if e.Slots > 0 {
 		batch = e.Slots
 	}
 	t := &Target{
-		Endpoint: e, hash: e.Hash(), batch: max(batch, 1), said: s,
+		Endpoint: e, hash: e.Hash(), batch: max(batch, 1), advertised: s,
 		backlog: newBacklog(cost, e.Memory), holds: holds, left: make(chan struct{}), flights: make(map[*Flight]struct{}),
 	}
 	t.ramp.Store(math.Float32bits(1))
