--- a/request/pool.go
+++ b/request/pool.go
@@ -202,14 +202,14 @@
 	for _, t := range p.Targets() {
 		t.Return(now)
 		t.Class(now)
-		t.addSent(-fade * t.lately())
+		t.addSent(-fade * t.recentlySent())
 	}
 }
 
 // Capacity returns the total concurrency of the endpoints that are not excluded, and their estimated load.
 func (p *Pool) Capacity() (batch, load int) {
 	for _, t := range p.Targets() {
-		if t.out.Load() {
+		if t.excluded.Load() {
 			continue
 		}
 		t.mu.Lock()
--- a/request/route.go
+++ b/request/route.go
@@ -122,7 +122,7 @@
 
 // open reports whether the target is eligible for the request.
 func (t *Target) open(n Need) bool {
-	if t.out.Load() && !(n.Ejected && t.soft.Load()) || t == n.Avoid || !t.takes(n.Trial) {
+	if t.excluded.Load() && !(n.Ejected && t.softEjected.Load()) || t == n.Avoid || !t.takes(n.Trial) {
 		return false
 	}
 	if !n.Rested && t.advertised.othersRest.left(n.At) > 0 {
@@ -184,7 +184,7 @@
 	start := pick(n.Draw, len(all))
 	for i := range all {
 		t := all[(start+i)%len(all)]
-		if t.open(n) && int(t.load.Load()) <= bound && (best == nil || t.lately() < best.lately()) {
+		if t.open(n) && int(t.load.Load()) <= bound && (best == nil || t.recentlySent() < best.recentlySent()) {
 			best = t
 		}
 	}
@@ -271,7 +271,7 @@
 		hit := p.expectHit(t, n.Prefix, i)
 		c.Others[i] = Candidate{Target: t, Score: p.score(t, n, hit)}
 		r := math.Float32frombits(t.ramp.Load())
-		if float64(t.load.Load()) > float64(bound)*float64(r) || t.lately() > sentBound {
+		if float64(t.load.Load()) > float64(bound)*float64(r) || t.recentlySent() > sentBound {
 			continue
 		}
 		if best < 0 || c.Others[i].Score < c.Others[best].Score {
@@ -302,7 +302,7 @@
 		}
 		open++
 		sum += int(t.load.Load())
-		sent += t.lately()
+		sent += t.recentlySent()
 		w := mix(n.Prefix, t.hash)
 		if count == candidateCount && w <= weights[count-1] {
 			continue
--- a/request/target.go
+++ b/request/target.go
@@ -32,8 +32,8 @@
 // classBounds are the load-to-batch ratios at which Normal, Busy and Full begin.
 var classBounds = [...]float64{0.25, 0.75, 1}
 
-// classSlack is the hysteresis: how far the ratio must fall below a bound before the class drops.
-const classSlack = 0.1
+// classHysteresis is the hysteresis: how far the ratio must fall below a bound before the class drops.
+const classHysteresis = 0.1
 
 // ClassOf returns the class of a load. The class drops only once the load is clearly below a bound, so that
 // a load near a bound does not make it oscillate.
@@ -45,7 +45,7 @@
 	c := Idle
 	for i, b := range classBounds {
 		if before > Idle+Class(i) && before <= Full {
-			b -= classSlack
+			b -= classHysteresis
 		}
 		if share >= b {
 			c = Normal + Class(i)
@@ -54,51 +54,51 @@
 	return c
 }
 
-// assumedShare is the load-to-batch ratio assumed for each class if no number is known.
-var assumedShare = [...]float64{0.5, 0.1, 0.5, 0.9, 1.3, 1}
+// assumedLoadShare is the load-to-batch ratio assumed for each class if no number is known.
+var assumedLoadShare = [...]float64{0.5, 0.1, 0.5, 0.9, 1.3, 1}
 
 // Target is this daemon's view of one instance (one process start) of an endpoint.
 type Target struct {
 	Endpoint
-	hash       uint64
-	mine       atomic.Int32  // in-flight requests of this daemon
-	load       atomic.Int32  // estimated in-flight requests of all daemons
-	out        atomic.Bool   // excluded from routing: leaving or ejected
-	soft       atomic.Bool   // ejected only because requests failed that it had accepted
-	ramp       atomic.Uint32 // share of the load bound allowed after an ejection, as float bits
-	advertised *advertisedState
-	backlog    *Backlog
-	holds      *holdTime     // of the service
-	places     SlotUsage     // slots used by other daemons
-	answers    atomic.Bool   // it has completed a request of this daemon
-	over       atomic.Bool   // the endpoint has restarted since
-	role       atomic.Int32  // rollout.Role of its version
-	resting    atomic.Bool   // canary instance without traffic, as others suffice for the evaluation
-	sent       atomic.Uint32 // decaying count of requests sent by this daemon, as float bits
-
-	mu       sync.Mutex
-	class    Class
-	batch    int
-	reported int
-	at       time.Time     // of the report
-	life     time.Duration // validity of the report
-	since    int           // requests sent since the report
-	deadline time.Time     // of a leaving box
-	left     chan struct{} // closed when the endpoint starts leaving
-	fails    int           // consecutive failures
-	until    time.Time     // end of the ejection
-	ejected  time.Duration // length of the last ejection
-	pace     time.Duration // moving average of the time per token, or per plain call
-	paced    int           // answers in pace
-	flights  map[*Flight]struct{}
+	hash         uint64
+	mine         atomic.Int32  // in-flight requests of this daemon
+	load         atomic.Int32  // estimated in-flight requests of all daemons
+	excluded     atomic.Bool   // excluded from routing: leaving or ejected
+	softEjected  atomic.Bool   // ejected only because requests failed that it had accepted
+	ramp         atomic.Uint32 // share of the load bound allowed after an ejection, as float bits
+	advertised   *advertisedState
+	backlog      *Backlog
+	holds        *holdTime     // of the service
+	places       SlotUsage     // slots used by other daemons
+	hasCompleted atomic.Bool   // it has completed a request of this daemon
+	over         atomic.Bool   // the endpoint has restarted since
+	role         atomic.Int32  // rollout.Role of its version
+	resting      atomic.Bool   // canary instance without traffic, as others suffice for the evaluation
+	sentDecayed  atomic.Uint32 // decaying count of requests sent by this daemon, as float bits
+
+	mu              sync.Mutex
+	class           Class
+	batch           int
+	reported        int
+	reportedAt      time.Time     // of the report
+	reportTTL       time.Duration // validity of the report
+	sentSinceReport int           // requests sent since the report
+	deadline        time.Time     // of a leaving box
+	leavingCh       chan struct{} // closed when the endpoint starts leaving
+	failures        int           // consecutive failures
+	ejectedUntil    time.Time     // end of the ejection
+	ejectedFor      time.Duration // length of the last ejection
+	meanPace        time.Duration // moving average of the time per token, or per plain call
+	paceSamples     int           // answers in pace
+	flights         map[*Flight]struct{}
 }
 
-// A load report from the endpoint is valid for reportLife. A class from another daemon is valid for
-// heardLife, as daemons only announce changes. Older values decay towards the load assumed of an unknown
+// A load report from the endpoint is valid for loadReportTTL. A class from another daemon is valid for
+// announcementTTL, as daemons only announce changes. Older values decay towards the load assumed of an unknown
 // endpoint, never towards idle.
 const (
-	reportLife = 5 * time.Second
-	heardLife  = 5 * time.Minute
+	loadReportTTL   = 5 * time.Second
+	announcementTTL = 5 * time.Minute
 )
 
 // newTarget returns the view of an endpoint without any report.
@@ -108,7 +108,7 @@
 	}
 	t := &Target{
 		Endpoint: e, hash: e.Hash(), batch: max(batch, 1), advertised: s,
-		backlog: newBacklog(cost, e.Memory), holds: holds, left: make(chan struct{}), flights: make(map[*Flight]struct{}),
+		backlog: newBacklog(cost, e.Memory), holds: holds, leavingCh: make(chan struct{}), flights: make(map[*Flight]struct{}),
 	}
 	t.ramp.Store(math.Float32bits(1))
 	return t
@@ -121,7 +121,7 @@
 	if batch > 0 {
 		t.batch = batch
 	}
-	t.reported, t.at, t.since, t.life = load, now, 0, reportLife
+	t.reported, t.reportedAt, t.sentSinceReport, t.reportTTL = load, now, 0, loadReportTTL
 	if t.class != Leaving {
 		t.class = ClassOf(t.class, load, t.batch)
 	}
@@ -132,12 +132,12 @@
 func (t *Target) Hear(now time.Time, c Class) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	fresh := t.life == reportLife && now.Sub(t.at) < reportLife/2
+	fresh := t.reportTTL == loadReportTTL && now.Sub(t.reportedAt) < loadReportTTL/2
 	if t.class == Leaving || c == Leaving || fresh {
 		return
 	}
 	t.class = c
-	t.reported, t.at, t.since, t.life = int(assumedShare[c]*float64(t.batch)), now, 0, heardLife
+	t.reported, t.reportedAt, t.sentSinceReport, t.reportTTL = int(assumedLoadShare[c]*float64(t.batch)), now, 0, announcementTTL
 	t.estimate(now)
 }
 
@@ -146,7 +146,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.estimate(now)
-	if now.Sub(t.at) > 2*t.life && t.class != Leaving {
+	if now.Sub(t.reportedAt) > 2*t.reportTTL && t.class != Leaving {
 		return Unknown, int(t.load.Load())
 	}
 	return t.class, int(t.load.Load())
@@ -156,25 +156,25 @@
 func (t *Target) reportAge(now time.Time) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.at.IsZero() {
+	if t.reportedAt.IsZero() {
 		return -time.Millisecond
 	}
-	return now.Sub(t.at)
+	return now.Sub(t.reportedAt)
 }
 
 // saysFull reports whether the endpoint is full according to a recent load report or announcement.
 func (t *Target) saysFull(now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.class == Full && now.Sub(t.at) < reportLife
+	return t.class == Full && now.Sub(t.reportedAt) < loadReportTTL
 }
 
 // estimate updates load; the caller holds the lock.
 func (t *Target) estimate(now time.Time) {
-	est := float64(t.reported + t.since)
-	if age := now.Sub(t.at); age > t.life {
-		w := math.Min(1, float64(age-t.life)/float64(t.life+1))
-		unknown := assumedShare[Unknown] * float64(t.batch)
+	est := float64(t.reported + t.sentSinceReport)
+	if age := now.Sub(t.reportedAt); age > t.reportTTL {
+		w := math.Min(1, float64(age-t.reportTTL)/float64(t.reportTTL+1))
+		unknown := assumedLoadShare[Unknown] * float64(t.batch)
 		est = (1-w)*est + w*math.Max(est, unknown)
 	}
 	t.load.Store(max(int32(est), t.mine.Load()))
@@ -187,19 +187,19 @@
 	t.addSent(1)
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.since++
+	t.sentSinceReport++
 	if f != nil {
 		t.flights[f] = struct{}{}
 	}
 }
 
-// lately returns the decaying count of requests sent by this daemon.
-func (t *Target) lately() float64 { return float64(math.Float32frombits(t.sent.Load())) }
+// recentlySent returns the decaying count of requests sent by this daemon.
+func (t *Target) recentlySent() float64 { return float64(math.Float32frombits(t.sentDecayed.Load())) }
 
 func (t *Target) addSent(n float64) {
 	for {
-		old := t.sent.Load()
-		if t.sent.CompareAndSwap(old, math.Float32bits(math.Float32frombits(old)+float32(n))) {
+		old := t.sentDecayed.Load()
+		if t.sentDecayed.CompareAndSwap(old, math.Float32bits(math.Float32frombits(old)+float32(n))) {
 			return
 		}
 	}
@@ -211,8 +211,8 @@
 	t.load.Add(-1)
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.since > 0 {
-		t.since--
+	if t.sentSinceReport > 0 {
+		t.sentSinceReport--
 	} else if t.reported > 0 {
 		t.reported--
 	}
@@ -230,9 +230,9 @@
 		return nil, false
 	}
 	t.class, t.deadline = Leaving, deadline
-	t.soft.Store(false)
-	t.out.Store(true)
-	close(t.left)
+	t.softEjected.Store(false)
+	t.excluded.Store(true)
+	close(t.leavingCh)
 	for f := range t.flights {
 		flights = append(flights, f)
 	}
@@ -245,8 +245,8 @@
 // end excludes an instance that has been replaced and cancels its in-flight requests.
 func (t *Target) end() {
 	t.over.Store(true)
-	t.soft.Store(false)
-	t.out.Store(true)
+	t.softEjected.Store(false)
+	t.excluded.Store(true)
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for f := range t.flights {
@@ -264,85 +264,85 @@
 // Parameters of ejection (outlier detection).
 const (
 	ejectAfter = 3 // consecutive failures
-	ejectFirst = time.Second
-	ejectMost  = 30 * time.Second
+	ejectMin   = time.Second
+	ejectMax   = 30 * time.Second
 	rampStart  = 0.1 // initial share of the load bound after an ejection
-	rampStep   = 1.5 // factor on that share per success
+	rampFactor = 1.5 // factor on that share per success
 )
 
 // Fail counts a failure and reports whether it ejects the endpoint. A hard failure, such as a refused
-// connection, ejects at once. Each further ejection is twice as long, up to ejectMost.
+// connection, ejects at once. Each further ejection is twice as long, up to ejectMax.
 func (t *Target) Fail(now time.Time, hard bool) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.fails++
-	if !hard && t.fails < ejectAfter {
+	t.failures++
+	if !hard && t.failures < ejectAfter {
 		return false
 	}
-	t.ejected = min(max(2*t.ejected, ejectFirst), ejectMost)
-	t.keepOut(now.Add(t.ejected))
-	t.fails = 0
-	t.soft.Store(!hard)
-	t.out.Store(true)
+	t.ejectedFor = min(max(2*t.ejectedFor, ejectMin), ejectMax)
+	t.excludeUntil(now.Add(t.ejectedFor))
+	t.failures = 0
+	t.softEjected.Store(!hard)
+	t.excluded.Store(true)
 	return true
 }
 
-// endedFor is how long an endpoint that is known to have ended is excluded: until its registry entry
+// endedExclusion is how long an endpoint that is known to have ended is excluded: until its registry entry
 // expires, after three heartbeats of 1.2 s.
-const endedFor = 3600 * time.Millisecond
+const endedExclusion = 3600 * time.Millisecond
 
 // Gone excludes an endpoint that is known to have ended, and reports whether it was not excluded before.
 func (t *Target) Gone(now time.Time) (fresh bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	fresh = !t.out.Load()
-	t.soft.Store(false)
-	t.keepOut(now.Add(endedFor))
-	t.fails = 0
-	t.out.Store(true)
+	fresh = !t.excluded.Load()
+	t.softEjected.Store(false)
+	t.excludeUntil(now.Add(endedExclusion))
+	t.failures = 0
+	t.excluded.Store(true)
 	return fresh
 }
 
-// keepOut extends the exclusion to the given time and never shortens it; the caller holds the lock.
-func (t *Target) keepOut(until time.Time) {
-	if until.After(t.until) {
-		t.until = until
+// excludeUntil extends the exclusion to the given time and never shortens it; the caller holds the lock.
+func (t *Target) excludeUntil(until time.Time) {
+	if until.After(t.ejectedUntil) {
+		t.ejectedUntil = until
 	}
 }
 
 // Succeed counts a success: it resets the failure count and raises the ramp of an endpoint that has
 // returned from ejection.
 func (t *Target) Succeed() {
-	t.answers.Store(true)
+	t.hasCompleted.Store(true)
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.fails = 0
-	r := math.Min(1, float64(math.Float32frombits(t.ramp.Load()))*rampStep)
+	t.failures = 0
+	r := math.Min(1, float64(math.Float32frombits(t.ramp.Load()))*rampFactor)
 	t.ramp.Store(math.Float32bits(float32(r)))
 	if r >= 1 {
-		t.ejected = 0
+		t.ejectedFor = 0
 	}
 }
 
 // Answered reports whether the endpoint has ever completed a request of this daemon.
-func (t *Target) Answered() bool { return t.answers.Load() }
+func (t *Target) Answered() bool { return t.hasCompleted.Load() }
 
-// An endpoint is slow if the average over at least slowAfter answers exceeds slowTimes the service's usual
+// An endpoint is slow if the average over at least slowMinAnswers answers exceeds slowFactor the service's usual
 // time per token. A full batch is about twice as slow as an empty one.
 const (
-	slowAfter = 4
-	slowTimes = 4
+	slowMinAnswers = 4
+	slowFactor     = 4
 )
 
 // Paced records the time per token (or per plain call) of a complete answer, and reports whether the
 // endpoint is ejected as slow compared with the service's usual value.
 func (t *Target) Paced(now time.Time, pace, usual time.Duration) bool {
 	t.mu.Lock()
-	t.paced++
-	t.pace += (pace - t.pace) / time.Duration(min(t.paced, slowAfter))
-	slow := usual > 0 && t.paced >= slowAfter && t.pace > slowTimes*usual
+	t.paceSamples++
+	t.meanPace += (pace - t.meanPace) / time.Duration(min(t.paceSamples, slowMinAnswers))
+	slow := usual > 0 && t.paceSamples >= slowMinAnswers && t.meanPace > slowFactor*usual
 	if slow {
-		t.pace, t.paced = 0, 0
+		t.meanPace, t.paceSamples = 0, 0
 	}
 	t.mu.Unlock()
 	return slow && t.Fail(now, true)
@@ -350,21 +350,21 @@
 
 // Return readmits an endpoint whose ejection is over, at the start of its ramp, and reports whether it did.
 func (t *Target) Return(now time.Time) bool {
-	if !t.out.Load() {
+	if !t.excluded.Load() {
 		return false
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.class == Leaving || now.Before(t.until) {
+	if t.class == Leaving || now.Before(t.ejectedUntil) {
 		return false
 	}
 	t.ramp.Store(math.Float32bits(rampStart))
-	t.out.Store(false)
+	t.excluded.Store(false)
 	return true
 }
 
 // Ejected reports whether the endpoint is excluded for a reason other than leaving.
 func (t *Target) Ejected() bool {
 	_, leaving := t.Leaving()
-	return t.out.Load() && !leaving
+	return t.excluded.Load() && !leaving
 }
