--- a/request/backlog.go
+++ b/request/backlog.go
@@ -20,16 +20,16 @@
 }
 
 const (
-	// cacheParts is the maximum number of cached parts tracked per engine, at about 100 bytes each.
-	cacheParts = 512
+	// maxCachedParts is the maximum number of cached parts tracked per engine, at about 100 bytes each.
+	maxCachedParts = 512
 	// cacheShare is the assumed share of an engine's KV memory that caches shared parts; running requests
 	// use the rest.
 	cacheShare = 0.7
-	// paceWeight is the weight of one sample in an engine's pace; paceLeast and paceMost bound the samples
+	// paceWeight is the weight of one sample in an engine's pace; paceMin and paceMax bound the samples
 	// against outliers.
 	paceWeight = 0.1
-	paceLeast  = 0.5
-	paceMost   = 8
+	paceMin    = 0.5
+	paceMax    = 8
 )
 
 // Backlog estimates the pending prefill work of an engine and the parts in its prefix cache. It is modelled
@@ -37,19 +37,19 @@
 type Backlog struct {
 	cost *PrefillCost // of the service's engines
 
-	mu     sync.Mutex
-	left   time.Duration // pending prefill time at the time at
-	at     time.Time
-	added  time.Duration // prefill time added in total
-	pace   float64       // the engine's prefill time relative to the service's
-	parts  *simplelru.LRU[uint64, int]
-	kept   int // tokens of the tracked parts
-	memory int // capacity for cached tokens; 0 for no bound
+	mu            sync.Mutex
+	pending       time.Duration // pending prefill time at the time at
+	at            time.Time
+	added         time.Duration // prefill time added in total
+	pace          float64       // the engine's prefill time relative to the service's
+	parts         *simplelru.LRU[uint64, int]
+	cachedTokens  int // tokens of the tracked parts
+	cacheCapacity int // capacity for cached tokens; 0 for no bound
 }
 
 func newBacklog(cost *PrefillCost, memory int) *Backlog {
-	b := &Backlog{cost: cost, pace: 1, memory: int(cacheShare * float64(memory))}
-	b.parts, _ = simplelru.NewLRU(cacheParts, func(_ uint64, tokens int) { b.kept -= tokens }) // fails only for a size below 1
+	b := &Backlog{cost: cost, pace: 1, cacheCapacity: int(cacheShare * float64(memory))}
+	b.parts, _ = simplelru.NewLRU(maxCachedParts, func(_ uint64, tokens int) { b.cachedTokens -= tokens }) // fails only for a size below 1
 	return b
 }
 
@@ -58,13 +58,13 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.drain(now)
-	return b.left
+	return b.pending
 }
 
 // drain subtracts the time passed since the last update; the caller holds the lock.
 func (b *Backlog) drain(now time.Time) {
 	if dt := now.Sub(b.at); dt > 0 {
-		b.left = max(0, b.left-dt)
+		b.pending = max(0, b.pending-dt)
 		b.at = now
 	}
 }
@@ -74,7 +74,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.drain(now)
-	return b.added - b.left
+	return b.added - b.pending
 }
 
 // PrefillEstimate is the estimated prefill of one prompt at an engine.
@@ -92,7 +92,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.drain(now)
-	r := PrefillEstimate{Wait: b.left}
+	r := PrefillEstimate{Wait: b.pending}
 	kept, total := true, 0
 	for i, p := range parts {
 		total += p.Tokens
@@ -127,26 +127,26 @@
 	defer b.mu.Unlock()
 	b.drain(now)
 	own := time.Duration(b.pace * float64(b.cost.Time(fresh, total)))
-	m := Mark{alone: b.left == 0, own: own, fresh: fresh, total: total, at: now}
-	b.left += own
+	m := Mark{alone: b.pending == 0, own: own, fresh: fresh, total: total, at: now}
+	b.pending += own
 	b.added += own
 	b.cost.Count(own)
 	m.added = b.added
 	for _, p := range shared {
-		b.keep(p)
+		b.cachePart(p)
 	}
 	return m
 }
 
-// keep records a shared part as cached; the caller holds the lock.
-func (b *Backlog) keep(p Part) {
+// cachePart records a shared part as cached; the caller holds the lock.
+func (b *Backlog) cachePart(p Part) {
 	if b.parts.Contains(p.ID) {
 		b.parts.Get(p.ID) // marks it as recently used
 		return
 	}
 	b.parts.Add(p.ID, p.Tokens)
-	b.kept += p.Tokens
-	for b.memory > 0 && b.kept > b.memory && b.parts.Len() > 1 {
+	b.cachedTokens += p.Tokens
+	for b.cacheCapacity > 0 && b.cachedTokens > b.cacheCapacity && b.parts.Len() > 1 {
 		b.parts.RemoveOldest()
 	}
 }
@@ -158,7 +158,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.drain(now)
-	b.left = min(b.left, max(0, b.added-m.added))
+	b.pending = min(b.pending, max(0, b.added-m.added))
 	took := now.Sub(m.at)
 	if !m.alone || took <= 0 || m.own <= 0 {
 		return
@@ -169,7 +169,7 @@
 	if m.fresh < sampleLeast || took <= 0 {
 		return
 	}
-	sample := math.Min(math.Max(b.pace*float64(took)/float64(m.own), paceLeast), paceMost)
+	sample := math.Min(math.Max(b.pace*float64(took)/float64(m.own), paceMin), paceMax)
 	b.pace += paceWeight * (sample - b.pace)
 }
 
@@ -178,7 +178,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.drain(now)
-	b.left = max(0, b.left-m.own)
+	b.pending = max(0, b.pending-m.own)
 }
 
 // Sent announces to other daemons that a prompt was sent to an engine.
@@ -220,7 +220,7 @@
 			m := t.backlog.Add(now, s.Fresh, s.Total, s.Parts)
 			t.places.Delay(t.holds.beside(m.own))
 			if w.opts.Without.On(mechanism.EnginePlaces) {
-				t.places.Take(now, now.Add(t.backlog.Left(now)), k.Pool.holds.of(s.Out), t.placesFor(w.opts.Without))
+				t.places.Take(now, now.Add(t.backlog.Left(now)), k.Pool.holds.of(s.Out), t.slotsForOthers(w.opts.Without))
 			}
 			return
 		}
@@ -228,41 +228,41 @@
 }
 
 const (
-	// rereadWeight is the extra weight of recomputing a shared part beyond its time: it costs money and
+	// recomputePartWeight is the extra weight of recomputing a shared part beyond its time: it costs money and
 	// evicts another part.
-	rereadWeight = 1.0
-	// heldShare is the share of the longest tolerated pause that a prompt's prefill may cause in
+	recomputePartWeight = 1.0
+	// maxPauseShare is the share of the longest tolerated pause that a prompt's prefill may cause in
 	// concurrent streams.
-	heldShare = 0.8
-	// heldCost is the cost of making one stream late, in seconds. Twice the value puts 0.85 instead of 0.82
+	maxPauseShare = 0.8
+	// lateStreamCost is the cost of making one stream late, in seconds. Twice the value puts 0.85 instead of 0.82
 	// of the long prompts in time on 85 nearly full simulated engines, and changes nothing on 120, but loses
 	// 0.02 of the earnings of a day of peak load on 9 engines of 64 slots.
-	heldCost = 0.15
-	// laneShare is the share of the engines set apart for prompts whose prefill delays other streams;
-	// laneCost is the penalty in seconds for other prompts there.
-	laneShare = 0.2
-	laneCost  = 0.1
-	// laneLeast is the minimum number of engines at which some are set apart.
-	laneLeast = 4
-	// laneMemory is how long engines stay set apart after the last such prompt.
-	laneMemory = 20 * time.Second
+	lateStreamCost = 0.15
+	// reservedShare is the share of the engines set apart for prompts whose prefill delays other streams;
+	// reservedCost is the penalty in seconds for other prompts there.
+	reservedShare = 0.2
+	reservedCost  = 0.1
+	// reservedMinEngines is the minimum number of engines at which some are set apart.
+	reservedMinEngines = 4
+	// reservedTTL is how long engines stay set apart after the last such prompt.
+	reservedTTL = 20 * time.Second
 )
 
-// homeHit is the probability that the first endpoints in a prompt's rendezvous order cache its shared parts
+// preferredHit is the probability that the first endpoints in a prompt's rendezvous order cache its shared parts
 // although this daemon does not know it: all daemons share the order and prefer the first ones. If daemons
 // know what the others have sent, it only makes the load less even (0.44 instead of 0.49 of the worth on a
 // quiet day of nine engines).
-var homeHit = [...]float64{0.7, 0.3}
+var preferredHit = [...]float64{0.7, 0.3}
 
 // tieBreak is the range, in seconds, of the random term that spreads prompts over equally good endpoints.
 const tieBreak = 0.004
 
-// homes are the first endpoints in the rendezvous order of a prompt's shared prefix.
-type homes [len(homeHit)]*Target
+// preferredTargets are the first endpoints in the rendezvous order of a prompt's shared prefix.
+type preferredTargets [len(preferredHit)]*Target
 
-func homesOf(l *poolList, n Need) homes {
-	var h homes
-	var weights [len(homeHit)]uint64
+func preferredFor(l *poolList, n Need) preferredTargets {
+	var h preferredTargets
+	var weights [len(preferredHit)]uint64
 	if !n.Homes || n.Prefix == 0 {
 		return h
 	}
@@ -284,7 +284,7 @@
 }
 
 // place returns an endpoint's index in the homes, or -1.
-func (h homes) place(t *Target) int {
+func (h preferredTargets) place(t *Target) int {
 	for i, x := range h {
 		if x == t {
 			return i
@@ -299,10 +299,10 @@
 func (p *Pool) choosePrompt(now time.Time, l *poolList, n Need) (Choice, bool) {
 	var c Choice
 	best := math.Inf(1)
-	home := homesOf(l, n)
-	lane := 0
-	if now.Sub(p.heldAt()) < laneMemory && len(l.all) >= laneLeast {
-		lane = max(1, int(laneShare*float64(len(l.all))))
+	preferred := preferredFor(l, n)
+	reserved := 0
+	if now.Sub(p.lastDelayingAt()) < reservedTTL && len(l.all) >= reservedMinEngines {
+		reserved = max(1, int(reservedShare*float64(len(l.all))))
 	}
 	for i, t := range l.all {
 		if !t.open(n) {
@@ -317,18 +317,18 @@
 		shared := r.Own.Seconds() * float64(r.Shared) / float64(max(r.Fresh, 1))
 		score := first.Seconds()
 		if n.Without.On(mechanism.RereadCost) {
-			score += rereadWeight * shared
+			score += recomputePartWeight * shared
 		}
-		if place := home.place(t); place >= 0 {
-			score -= homeHit[place] * (1 + rereadWeight) * shared
+		if place := preferred.place(t); place >= 0 {
+			score -= preferredHit[place] * (1 + recomputePartWeight) * shared
 		}
 		score += tieBreak * float64(mix(n.Draw, t.hash)%1024) / 1024
-		holds := n.Pause > 0 && n.Without.On(mechanism.SetApart) && float64(r.MaxPause) > heldShare*float64(n.Pause)
+		holds := n.Pause > 0 && n.Without.On(mechanism.SetApart) && float64(r.MaxPause) > maxPauseShare*float64(n.Pause)
 		switch {
 		case holds:
-			score += heldCost * float64(t.running(now))
-		case l.order[i] < lane:
-			score += laneCost
+			score += lateStreamCost * float64(t.running(now))
+		case l.order[i] < reserved:
+			score += reservedCost
 		}
 		score /= math.Max(float64(math.Float32frombits(t.ramp.Load())), rampStart)
 		if t.Zone != p.Zone {
@@ -343,23 +343,23 @@
 		}
 	}
 	if c.Target != nil && c.Why != "read soonest" {
-		p.holdsUp(now)
+		p.recordDelaying(now)
 	}
 	return c, c.Target != nil
 }
 
-// heldAt returns when a prompt that delays other streams was last routed.
-func (p *Pool) heldAt() time.Time { return time.Unix(0, p.held.Load()) }
+// lastDelayingAt returns when a prompt that delays other streams was last routed.
+func (p *Pool) lastDelayingAt() time.Time { return time.Unix(0, p.lastDelaying.Load()) }
 
-func (p *Pool) holdsUp(now time.Time) { p.held.Store(now.UnixNano()) }
+func (p *Pool) recordDelaying(now time.Time) { p.lastDelaying.Store(now.UnixNano()) }
 
 // running estimates the number of requests at the endpoint.
 func (t *Target) running(now time.Time) int {
 	return max(int(t.load.Load()), int(t.mine.Load())+t.places.Taken(now))
 }
 
-// placesFor returns how many of the engine's slots are left for requests of other daemons.
-func (t *Target) placesFor(without mechanism.Set) int {
+// slotsForOthers returns how many of the engine's slots are left for requests of other daemons.
+func (t *Target) slotsForOthers(without mechanism.Set) int {
 	if !without.On(mechanism.PlaceQueue) {
 		return math.MaxInt // waiting requests are not modelled apart from running ones
 	}
--- a/request/pool.go
+++ b/request/pool.go
@@ -39,8 +39,8 @@
 	cost  PrefillCost
 	holds holdTime
 
-	promises promises     // retry times given to callers refused at the endpoints' rate limits
-	held     atomic.Int64 // when a prompt that delays other streams was last routed, in Unix nanoseconds
+	promises     promises     // retry times given to callers refused at the endpoints' rate limits
+	lastDelaying atomic.Int64 // when a prompt that delays other streams was last routed, in Unix nanoseconds
 }
 
 // sentHalfLife is the half-life of the count of sent requests.
--- a/request/route.go
+++ b/request/route.go
@@ -74,9 +74,9 @@
 	recomputeTimes = 3 // weight of recomputed tokens for Podwave
 )
 
-// firstGuess is the expected cache hit at each position of the rendezvous order
+// defaultHits is the expected cache hit at each position of the rendezvous order
 // before any answer has reported one for the prefix.
-var firstGuess = [candidateCount]float64{0.5, 0.1, 0, 0}
+var defaultHits = [candidateCount]float64{0.5, 0.1, 0, 0}
 
 // mix hashes two numbers into one; for a prefix and a target it is the rendezvous weight.
 func mix(a, b uint64) uint64 {
@@ -132,8 +132,8 @@
 	return !shut
 }
 
-// weighted returns the target's load, scaled up while it ramps up after an ejection.
-func (t *Target) weighted() float64 {
+// rampedLoad returns the target's load, scaled up while it ramps up after an ejection.
+func (t *Target) rampedLoad() float64 {
 	r := float64(math.Float32frombits(t.ramp.Load()))
 	return float64(t.load.Load()) / math.Max(r, rampStart)
 }
@@ -160,7 +160,7 @@
 	start := pick(n.Draw, len(all))
 	for i := range all {
 		t := all[(start+i)%len(all)]
-		if f(t) && t.open(n) && (best == nil || t.weighted() < best.weighted()) {
+		if f(t) && t.open(n) && (best == nil || t.rampedLoad() < best.rampedLoad()) {
 			best = t
 		}
 	}
@@ -175,9 +175,9 @@
 	return Choice{Target: best, Load: int(best.load.Load()), Why: why}, true
 }
 
-// chooseQuiet chooses the endpoint with the fewest recently sent requests among those within the load
+// chooseLeastSent chooses the endpoint with the fewest recently sent requests among those within the load
 // bound, for a prompt whose preferred endpoints are over their bounds.
-func chooseQuiet(all []*Target, n Need) (Choice, bool) {
+func chooseLeastSent(all []*Target, n Need) (Choice, bool) {
 	l := poolList{all: all}
 	bound := loadBound(&l, n)
 	var best *Target
@@ -198,15 +198,15 @@
 // zones if that one is over the load bound.
 func (p *Pool) chooseTwo(l *poolList, n Need) (Choice, bool) {
 	if n.Settled {
-		if c, ok := chooseSettled(l, n); ok {
+		if c, ok := chooseNonReclaimable(l, n); ok {
 			return c, true
 		}
 	}
 	bound := loadBound(l, n)
-	if t := lighter(l.zone, n); t != nil && int(t.load.Load()) <= bound {
+	if t := lessLoadedOfTwo(l.zone, n); t != nil && int(t.load.Load()) <= bound {
 		return Choice{Target: t, Load: int(t.load.Load()), Bound: bound, Why: "two choices in the zone"}, true
 	}
-	if t := lighter(l.all, n); t != nil && int(t.load.Load()) <= bound {
+	if t := lessLoadedOfTwo(l.all, n); t != nil && int(t.load.Load()) <= bound {
 		return Choice{Target: t, Load: int(t.load.Load()), Bound: bound, Why: "two choices in all zones"}, true
 	}
 	c, ok := chooseLeast(l.all, n, "least loaded")
@@ -214,8 +214,8 @@
 	return c, ok
 }
 
-// chooseSettled chooses the least loaded non-reclaimable box within the load bound, if there is one.
-func chooseSettled(l *poolList, n Need) (Choice, bool) {
+// chooseNonReclaimable chooses the least loaded non-reclaimable box within the load bound, if there is one.
+func chooseNonReclaimable(l *poolList, n Need) (Choice, bool) {
 	bound := loadBound(l, n)
 	best := leastLoaded(l.all, n, func(t *Target) bool { return !t.Reclaimable && int(t.load.Load()) <= bound })
 	if best == nil {
@@ -224,8 +224,8 @@
 	return Choice{Target: best, Load: int(best.load.Load()), Bound: bound, Why: "not reclaimable"}, true
 }
 
-// lighter draws two endpoints at random and returns the less loaded eligible one, or nil.
-func lighter(ts []*Target, n Need) *Target {
+// lessLoadedOfTwo draws two endpoints at random and returns the less loaded eligible one, or nil.
+func lessLoadedOfTwo(ts []*Target, n Need) *Target {
 	if len(ts) == 0 {
 		return nil
 	}
@@ -235,7 +235,7 @@
 		return nil
 	case !a.open(n):
 		return b
-	case !b.open(n) || a.weighted() <= b.weighted():
+	case !b.open(n) || a.rampedLoad() <= b.rampedLoad():
 		return a
 	default:
 		return b
@@ -279,7 +279,7 @@
 		}
 	}
 	if best < 0 {
-		least, ok := chooseQuiet(l.all, n)
+		least, ok := chooseLeastSent(l.all, n)
 		least.Others, least.Bound = c.Others, bound
 		return least, ok
 	}
@@ -328,7 +328,7 @@
 	if s, ok := p.hits.get(hitKey{prefix, t.hash}); ok {
 		return float64(s)
 	}
-	return firstGuess[place]
+	return defaultHits[place]
 }
 
 // score returns the expected wait and recompute time in seconds.
