--- a/request/advertised.go
+++ b/request/advertised.go
@@ -13,14 +13,14 @@
 // advertisedState is the state that one instance of an endpoint advertises in its answers. It outlives the endpoint's
 // registry entry, which may expire and return while the store is unavailable.
 type advertisedState struct {
-	asking atomic.Bool // a permit is being requested
-	turn   moment      // no permit is available before then
-	bound  atomic.Bool // it advertises a rate limit
-	rest   moment      // it asked this daemon to send nothing until then
+	requestingPermit atomic.Bool // a permit is being requested
+	nextPermit       expiry      // no permit is available before then
+	rateLimited      atomic.Bool // it advertises a rate limit
+	backoff          expiry      // it asked this daemon to send nothing until then
 
-	// othersRest is the same for other daemons. An endpoint that asks one daemon to back off usually
+	// othersBackoff is the same for other daemons. An endpoint that asks one daemon to back off usually
 	// rejects the requests of all, and each of many daemons would lose a request to learn it.
-	othersRest moment
+	othersBackoff expiry
 
 	mu     sync.Mutex
 	limit  pace.Limit
@@ -29,16 +29,16 @@
 	bad    map[string]string // last invalid value of each kind
 }
 
-// moment is an atomic expiry time. It includes the monotonic clock reading, so that a step of the wall
+// expiry is an atomic expiry time. It includes the monotonic clock reading, so that a step of the wall
 // clock neither ends nor prolongs it. The zero value has expired.
-type moment struct{ at atomic.Pointer[time.Time] }
+type expiry struct{ at atomic.Pointer[time.Time] }
 
-func (m *moment) set(t time.Time) { m.at.Store(&t) }
+func (m *expiry) set(t time.Time) { m.at.Store(&t) }
 
-func (m *moment) clear() { m.at.Store(nil) }
+func (m *expiry) clear() { m.at.Store(nil) }
 
 // extend sets the expiry unless the current one is later.
-func (m *moment) extend(t time.Time) {
+func (m *expiry) extend(t time.Time) {
 	for {
 		old := m.at.Load()
 		if old != nil && !t.After(*old) || m.at.CompareAndSwap(old, &t) {
@@ -48,7 +48,7 @@
 }
 
 // left returns the time until expiry, 0 if it has expired.
-func (m *moment) left(now time.Time) time.Duration {
+func (m *expiry) left(now time.Time) time.Duration {
 	until := m.at.Load()
 	if until == nil {
 		return 0
@@ -63,9 +63,9 @@
 	return t.advertised.limit
 }
 
-// NameLimit records the rate limit that an answer of the endpoint advertises, 0 for none. It reports
+// RecordLimit records the rate limit that an answer of the endpoint advertises, 0 for none. It reports
 // whether to announce it to other daemons.
-func (t *Target) NameLimit(perSecond float64) (l pace.Limit, tell bool) {
+func (t *Target) RecordLimit(perSecond float64) (l pace.Limit, tell bool) {
 	t.advertised.mu.Lock()
 	defer t.advertised.mu.Unlock()
 	l, tell = t.advertised.limit.Say(perSecond)
@@ -87,9 +87,9 @@
 // set replaces the limit; the caller holds the lock. Without a limit, no wait for a permit remains.
 func (s *advertisedState) set(l pace.Limit) {
 	s.limit = l
-	s.bound.Store(l.Named())
+	s.rateLimited.Store(l.Named())
 	if !l.Named() {
-		s.turn.clear()
+		s.nextPermit.clear()
 	}
 }
 
@@ -99,12 +99,12 @@
 	defer s.mu.Unlock()
 	if s.limit.Named() {
 		s.gap = g.Gap
-		s.turn.set(now.Add(g.Wait))
+		s.nextPermit.set(now.Add(g.Wait))
 	}
 }
 
-// unbelieved records an invalid value, and reports whether it differs from the last one of its kind.
-func (s *advertisedState) unbelieved(b pace.Bad) bool {
+// recordInvalid records an invalid value, and reports whether it differs from the last one of its kind.
+func (s *advertisedState) recordInvalid(b pace.Bad) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.bad[b.What] == b.Value {
@@ -117,24 +117,24 @@
 	return true
 }
 
-// askTime is the approximate time that a request for a permit takes.
-const askTime = 10 * time.Millisecond
+// permitTime is the approximate time that a request for a permit takes.
+const permitTime = 10 * time.Millisecond
 
-// takesFrom returns when the endpoint accepts a request according to its advertised state; shut is false if
+// acceptsFrom returns when the endpoint accepts a request according to its advertised state; shut is false if
 // it does so now.
-func (s *advertisedState) takesFrom(now time.Time) (at time.Time, shut bool) {
-	wait := s.rest.left(now)
-	if s.bound.Load() {
-		wait = max(wait, s.turn.left(now))
-		if wait == 0 && s.asking.Load() {
-			wait = askTime
+func (s *advertisedState) acceptsFrom(now time.Time) (at time.Time, shut bool) {
+	wait := s.backoff.left(now)
+	if s.rateLimited.Load() {
+		wait = max(wait, s.nextPermit.left(now))
+		if wait == 0 && s.requestingPermit.Load() {
+			wait = permitTime
 		}
 	}
 	return now.Add(wait), wait > 0
 }
 
-// gapNow returns the interval of this daemon's requests under the limit, 0 for an endpoint without one.
-func (s *advertisedState) gapNow() time.Duration {
+// sendInterval returns the interval of this daemon's requests under the limit, 0 for an endpoint without one.
+func (s *advertisedState) sendInterval() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.limit.Named() {
@@ -147,7 +147,7 @@
 func (w *Works) Limited() (n int) {
 	for _, k := range w.All() {
 		for _, t := range k.Pool.Targets() {
-			if t.advertised.bound.Load() {
+			if t.advertised.rateLimited.Load() {
 				n++
 			}
 		}
@@ -155,25 +155,25 @@
 	return n
 }
 
-// saidMost is the capacity of saidMemory.
-const saidMost = 1024
+// stateMemorySize is the capacity of stateMemory.
+const stateMemorySize = 1024
 
-// saidMemory holds the advertised state of endpoints without a registry entry. The zero value is ready to
+// stateMemory holds the advertised state of endpoints without a registry entry. The zero value is ready to
 // use.
-type saidMemory struct {
+type stateMemory struct {
 	byHash map[uint64]*advertisedState
 }
 
 // keep stores the state of an endpoint instance; a full memory is emptied first.
-func (m *saidMemory) keep(hash uint64, s *advertisedState) {
-	if m.byHash == nil || len(m.byHash) >= saidMost {
+func (m *stateMemory) keep(hash uint64, s *advertisedState) {
+	if m.byHash == nil || len(m.byHash) >= stateMemorySize {
 		m.byHash = make(map[uint64]*advertisedState)
 	}
 	m.byHash[hash] = s
 }
 
 // take removes and returns the stored state of an endpoint instance, or returns an empty one.
-func (m *saidMemory) take(hash uint64) *advertisedState {
+func (m *stateMemory) take(hash uint64) *advertisedState {
 	s := m.byHash[hash]
 	if s == nil {
 		return &advertisedState{}
@@ -191,14 +191,14 @@
 		if t.excluded.Load() || !t.takes(n.Trial) {
 			continue
 		}
-		from, shut := t.advertised.takesFrom(now)
+		from, shut := t.advertised.acceptsFrom(now)
 		if !shut {
 			continue
 		}
 		if !ok || from.Before(at) {
 			at, ok = from, true
 		}
-		if g := t.advertised.gapNow(); g > 0 {
+		if g := t.advertised.sendInterval(); g > 0 {
 			perSecond += 1 / g.Seconds()
 		}
 	}
@@ -208,29 +208,29 @@
 	return at, gap, ok
 }
 
-// promises schedules the retry times given to refused callers. The zero value is ready to use.
-type promises struct {
+// retrySchedule schedules the retry times given to refused callers. The zero value is ready to use.
+type retrySchedule struct {
 	mu   sync.Mutex
 	last time.Time
 }
 
 const (
-	// longestPromise is the maximum retry delay given to a caller; leastGap is the minimum interval of retry
+	// maxRetryDelay is the maximum retry delay given to a caller; minRetryGap is the minimum interval of retry
 	// times, so that refused callers do not return all at once.
-	longestPromise = time.Minute
-	leastGap       = 2 * time.Millisecond
+	maxRetryDelay = time.Minute
+	minRetryGap   = 2 * time.Millisecond
 )
 
 // next returns the retry time for one more caller: first for the first caller, and a gap later for each
 // further one.
-func (p *promises) next(now, first time.Time, gap time.Duration) time.Time {
+func (p *retrySchedule) next(now, first time.Time, gap time.Duration) time.Time {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	at := first
-	if last := p.last.Add(max(gap, leastGap)); last.After(at) {
+	if last := p.last.Add(max(gap, minRetryGap)); last.After(at) {
 		at = last
 	}
-	if most := now.Add(longestPromise); at.After(most) {
+	if most := now.Add(maxRetryDelay); at.After(most) {
 		return most
 	}
 	p.last = at
--- a/request/backlog.go
+++ b/request/backlog.go
@@ -332,7 +332,7 @@
 		}
 		score /= math.Max(float64(math.Float32frombits(t.ramp.Load())), rampStart)
 		if t.Zone != p.Zone {
-			score += zoneSeconds
+			score += crossZoneSeconds
 		}
 		if score < best {
 			best = score
--- a/request/endpointstate.go
+++ b/request/endpointstate.go
@@ -32,22 +32,22 @@
 func (t *Target) Word(now time.Time) Word {
 	t.advertised.mu.Lock()
 	defer t.advertised.mu.Unlock()
-	rest := max(t.advertised.rest.left(now), t.advertised.othersRest.left(now))
+	rest := max(t.advertised.backoff.left(now), t.advertised.othersBackoff.left(now))
 	return Word{Endpoint: t.hash, Limit: t.advertised.limit, Leaves: t.advertised.leaves, Rest: rest}
 }
 
 // HearWord merges the state announced by another daemon. An endpoint that leaves ends after left.
 func (t *Target) HearWord(now time.Time, w Word, left time.Duration) {
 	t.HearLimit(w.Limit)
-	t.advertised.othersRest.extend(now.Add(w.Rest))
+	t.advertised.othersBackoff.extend(now.Add(w.Rest))
 	if w.Leaves {
-		t.SayLeaving(now, left)
+		t.RecordLeaving(now, left)
 	}
 }
 
-// SayLeaving records that the endpoint itself advertises that it leaves, and reports whether that is new. It
+// RecordLeaving records that the endpoint itself advertises that it leaves, and reports whether that is new. It
 // overrides the registry entry of this instance.
-func (t *Target) SayLeaving(now time.Time, left time.Duration) (fresh bool) {
+func (t *Target) RecordLeaving(now time.Time, left time.Duration) (fresh bool) {
 	t.advertised.mu.Lock()
 	fresh = !t.advertised.leaves
 	t.advertised.leaves = true
@@ -59,7 +59,7 @@
 // SayRest records that the endpoint asked this daemon to back off for d. It reports whether to announce it
 // to other daemons, which is not needed while a back-off is already known.
 func (t *Target) SayRest(now time.Time, d time.Duration) (tell bool) {
-	tell = t.advertised.rest.left(now) == 0 && t.advertised.othersRest.left(now) == 0
-	t.advertised.rest.extend(now.Add(d))
+	tell = t.advertised.backoff.left(now) == 0 && t.advertised.othersBackoff.left(now) == 0
+	t.advertised.backoff.extend(now.Add(d))
 	return tell
 }
--- a/request/permit.go
+++ b/request/permit.go
@@ -25,13 +25,13 @@
 // advertises a rate limit.
 func (r *run) permit(ctx context.Context, c *Choice) bool {
 	s := c.Target.advertised
-	if r.opts.Permits == nil || !s.bound.Load() {
+	if r.opts.Permits == nil || !s.rateLimited.Load() {
 		return true
 	}
-	if !s.asking.CompareAndSwap(false, true) {
+	if !s.requestingPermit.CompareAndSwap(false, true) {
 		return false // another request is taking a permit since the choice was made
 	}
-	defer s.asking.Store(false)
+	defer s.requestingPermit.Store(false)
 	g := r.opts.Permits.Take(ctx, c.Target)
 	now := r.Now()
 	if !g.OK {
@@ -60,7 +60,7 @@
 	if wait <= routeWait || r.life.Tainted {
 		return min(wait, routeWait), nil
 	}
-	back := r.work.Pool.promises.next(now, at, gap).Sub(now)
+	back := r.work.Pool.retrySchedule.next(now, at, gap).Sub(now)
 	return 0, code.New(code.AtLimits, "no endpoint of %s accepts more requests for %s, as advertised", r.work.Pool.Service, wait.Round(time.Millisecond)).After(back)
 }
 
@@ -72,11 +72,11 @@
 	// An answer without an ID may come from a proxy in front of the endpoint, so that a missing limit means
 	// nothing.
 	if said.Limited || !said.Unclear && h.ID != "" {
-		if l, tell := t.NameLimit(said.PerSecond); tell {
+		if l, tell := t.RecordLimit(said.PerSecond); tell {
 			told["per_second"], told["turn"] = l.PerSecond, l.Turn
 		}
 	}
-	if said.Leaves && t.SayLeaving(now, r.opts.Drain) {
+	if said.Leaves && t.RecordLeaving(now, r.opts.Drain) {
 		told["leaves"], told["left_ms"] = true, r.opts.Drain.Milliseconds()
 	}
 	if said.Rest > 0 && t.SayRest(now, said.Rest) {
@@ -95,7 +95,7 @@
 // logBad logs invalid advertised values, unless the value was the last one logged for its kind.
 func (r *run) logBad(t *Target, bad []pace.Bad) {
 	for _, b := range bad {
-		if t.advertised.unbelieved(b) {
+		if t.advertised.recordInvalid(b) {
 			r.log.WithFields(logrus.Fields{"endpoint": t.ID, "value": b.Value, "request": r.r.ID}).
 				Warnf("ignored an invalid %s advertised by the endpoint", b.What)
 		}
--- a/request/pool.go
+++ b/request/pool.go
@@ -26,12 +26,12 @@
 
 	list atomic.Pointer[poolList] // nil after a change of endpoints, until the next use
 
-	mu       sync.Mutex
-	byID     map[string]*Target
-	standing rollout.Standing // of the service's versions
-	gone     map[string]bool  // boxes that have ended; the box list may still contain them
-	past     saidMemory       // advertised state of endpoints without an entry
-	batch    int              // default concurrency of an endpoint
+	mu          sync.Mutex
+	byID        map[string]*Target
+	standing    rollout.Standing // of the service's versions
+	ended       map[string]bool  // boxes that have ended; the box list may still contain them
+	savedStates stateMemory      // advertised state of endpoints without an entry
+	batch       int              // default concurrency of an endpoint
 
 	ticked time.Time
 
@@ -39,8 +39,8 @@
 	cost  PrefillCost
 	holds holdTime
 
-	promises     promises     // retry times given to callers refused at the endpoints' rate limits
-	lastDelaying atomic.Int64 // when a prompt that delays other streams was last routed, in Unix nanoseconds
+	retrySchedule retrySchedule // retry times given to callers refused at the endpoints' rate limits
+	lastDelaying  atomic.Int64  // when a prompt that delays other streams was last routed, in Unix nanoseconds
 }
 
 // sentHalfLife is the half-life of the count of sent requests.
@@ -60,7 +60,7 @@
 
 // NewPool returns an empty pool; batch is the assumed concurrency of an endpoint until it reports its own.
 func NewPool(service, zone string, batch int) *Pool {
-	p := &Pool{Service: service, Zone: zone, byID: make(map[string]*Target), gone: make(map[string]bool), batch: batch}
+	p := &Pool{Service: service, Zone: zone, byID: make(map[string]*Target), ended: make(map[string]bool), batch: batch}
 	p.hits.init()
 	return p
 }
@@ -73,10 +73,10 @@
 	if t, ok := p.byID[e.ID]; ok {
 		return t
 	}
-	if p.gone[e.ID] {
+	if p.ended[e.ID] {
 		return nil
 	}
-	t := newTarget(e, p.batch, &p.cost, &p.holds, p.past.take(e.Hash()))
+	t := newTarget(e, p.batch, &p.cost, &p.holds, p.savedStates.take(e.Hash()))
 	t.role.Store(int32(p.standing.RoleOf(e.Version)))
 	t.resting.Store(t.Role() == rollout.Trial) // until the next Rule
 	p.byID[e.ID] = t
@@ -88,7 +88,7 @@
 func (p *Pool) Remove(id string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.gone[id] = true
+	p.ended[id] = true
 	if _, ok := p.byID[id]; ok {
 		delete(p.byID, id)
 		p.list.Store(nil)
@@ -100,7 +100,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if t, ok := p.byID[id]; ok {
-		p.past.keep(t.hash, t.advertised)
+		p.savedStates.keep(t.hash, t.advertised)
 		delete(p.byID, id)
 		p.list.Store(nil)
 	}
--- a/request/route.go
+++ b/request/route.go
@@ -66,12 +66,12 @@
 }
 
 const (
-	candidateCount = 4    // endpoints considered in rendezvous order
-	loadSlack      = 1.15 // load bound as a multiple of the mean
-	sentSlack      = 1.05 // the same for recently sent requests
-	sentRoom       = 0.5  // requests any endpoint may have above that bound
-	zoneSeconds    = 0.002
-	recomputeTimes = 3 // weight of recomputed tokens for Podwave
+	candidateCount   = 4    // endpoints considered in rendezvous order
+	loadSlack        = 1.15 // load bound as a multiple of the mean
+	sentSlack        = 1.05 // the same for recently sent requests
+	sentMargin       = 0.5  // requests any endpoint may have above that bound
+	crossZoneSeconds = 0.002
+	recomputeWeight  = 3 // weight of recomputed tokens for Podwave
 )
 
 // defaultHits is the expected cache hit at each position of the rendezvous order
@@ -125,10 +125,10 @@
 	if t.excluded.Load() && !(n.Ejected && t.softEjected.Load()) || t == n.Avoid || !t.takes(n.Trial) {
 		return false
 	}
-	if !n.Rested && t.advertised.othersRest.left(n.At) > 0 {
+	if !n.Rested && t.advertised.othersBackoff.left(n.At) > 0 {
 		return false
 	}
-	_, shut := t.advertised.takesFrom(n.At)
+	_, shut := t.advertised.acceptsFrom(n.At)
 	return !shut
 }
 
@@ -318,7 +318,7 @@
 	}
 	if open > 0 {
 		bound = int(math.Ceil(loadSlack * float64(sum+1) / float64(open)))
-		sentBound = sentSlack*sent/float64(open) + sentRoom
+		sentBound = sentSlack*sent/float64(open) + sentMargin
 	}
 	return top, count, bound, sentBound
 }
@@ -335,14 +335,14 @@
 func (p *Pool) score(t *Target, n Need, hit float64) float64 {
 	weight := 1.0
 	if n.Weigh == version.WeighRecompute {
-		weight = recomputeTimes
+		weight = recomputeWeight
 	}
 	s := 0.0
 	if n.PrefillRate > 0 {
 		s = weight * (1 - hit) * float64(n.Prompt) / n.PrefillRate
 	}
 	if t.Zone != p.Zone {
-		s += zoneSeconds
+		s += crossZoneSeconds
 	}
 	t.mu.Lock()
 	batch := t.batch
