--- a/request/backlog.go
+++ b/request/backlog.go
@@ -220,7 +220,7 @@
 			m := t.backlog.Add(now, s.Fresh, s.Total, s.Parts)
 			t.places.Delay(t.holds.beside(m.own))
 			if w.opts.Without.On(mechanism.EnginePlaces) {
-				t.places.Take(now, now.Add(t.backlog.Left(now)), k.Pool.holds.of(s.Out), t.slotsForOthers(w.opts.Without))
+				t.places.Occupy(now, now.Add(t.backlog.Left(now)), k.Pool.holds.of(s.Out), t.slotsForOthers(w.opts.Without))
 			}
 			return
 		}
@@ -355,7 +355,7 @@
 
 // running estimates the number of requests at the endpoint.
 func (t *Target) running(now time.Time) int {
-	return max(int(t.load.Load()), int(t.mine.Load())+t.places.Taken(now))
+	return max(int(t.load.Load()), int(t.mine.Load())+t.places.Occupied(now))
 }
 
 // slotsForOthers returns how many of the engine's slots are left for requests of other daemons.
--- a/request/budget.go
+++ b/request/budget.go
@@ -31,13 +31,13 @@
 }
 
 const (
-	budgetShare = 0.2 // tokens per success
-	budgetMost  = 100 // capacity in tokens
-	budgetStart = 20  // initial tokens
+	budgetShare    = 0.2 // tokens per success
+	budgetCapacity = 100 // capacity in tokens
+	budgetInitial  = 20  // initial tokens
 )
 
 // NewBudget returns a budget with its initial tokens.
-func NewBudget() *Budget { return &Budget{tokens: budgetStart} }
+func NewBudget() *Budget { return &Budget{tokens: budgetInitial} }
 
 // First implements Retries; only successes count here.
 func (b *Budget) First(time.Time) {}
@@ -46,7 +46,7 @@
 func (b *Budget) Earn() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.tokens = math.Min(budgetMost, b.tokens+budgetShare)
+	b.tokens = math.Min(budgetCapacity, b.tokens+budgetShare)
 }
 
 // Left reports whether a retry is allowed.
@@ -81,27 +81,27 @@
 	Daemons func() int // number of daemons that share the slack
 }
 
-// slackUsed is the share of the slack that is used: a restarted daemon does not know what it has spent, and
+// usedSlackShare is the share of the slack that is used: a restarted daemon does not know what it has spent, and
 // the number of daemons is known with a delay.
-const slackUsed = 0.6
+const usedSlackShare = 0.6
 
 // spareShare is the share of the retries for requests that are still in flight at an endpoint. The rest is
 // reserved for streams whose endpoint ends: without it, slow engines during the reclaim of a zone used up all
 // retries, and none of 30 interrupted streams was resumed.
 const spareShare = 0.5
 
-// windowSteps is the number of buckets of the sliding window.
-const windowSteps = 10
+// windowBuckets is the number of buckets of the sliding window.
+const windowBuckets = 10
 
 // WindowBudget enforces this daemon's part of a RetryBound over a sliding window: the ratio of its own
 // requests, and an even share of the slack.
 type WindowBudget struct {
 	bound RetryBound
 
-	mu      sync.Mutex
-	step    int64 // current bucket, counted from the Unix epoch
-	firsts  [windowSteps + 1]int
-	repeats [windowSteps + 1]int
+	mu            sync.Mutex
+	bucket        int64 // current bucket, counted from the Unix epoch
+	firstAttempts [windowBuckets + 1]int
+	retries       [windowBuckets + 1]int
 }
 
 // NewWindowBudget returns a budget with an empty window.
@@ -110,21 +110,21 @@
 // advance clears the buckets that have left the window and returns the index of the current one; the caller
 // holds the lock.
 func (b *WindowBudget) advance(now time.Time) int {
-	step := now.UnixNano() / int64(b.bound.Window/windowSteps)
-	gone := min(step-b.step, windowSteps+1)
+	step := now.UnixNano() / int64(b.bound.Window/windowBuckets)
+	gone := min(step-b.bucket, windowBuckets+1)
 	for i := range gone {
-		at := (step - i) % (windowSteps + 1)
-		b.firsts[at], b.repeats[at] = 0, 0
+		at := (step - i) % (windowBuckets + 1)
+		b.firstAttempts[at], b.retries[at] = 0, 0
 	}
-	b.step = max(b.step, step)
-	return int(b.step % (windowSteps + 1))
+	b.bucket = max(b.bucket, step)
+	return int(b.bucket % (windowBuckets + 1))
 }
 
 // First implements Retries.
 func (b *WindowBudget) First(now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.firsts[b.advance(now)]++
+	b.firstAttempts[b.advance(now)]++
 }
 
 // Earn implements Retries; only requests count here.
@@ -135,7 +135,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.advance(now)
-	return b.within(1)
+	return b.allows(1)
 }
 
 // TakeSpare implements Retries.
@@ -143,25 +143,25 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	at := b.advance(now)
-	if !b.within(spareShare) {
+	if !b.allows(spareShare) {
 		return false
 	}
-	b.repeats[at]++
+	b.retries[at]++
 	return true
 }
 
-// within reports whether one more retry stays within a share of the bound; the caller holds the lock. The
+// allows reports whether one more retry stays allows a share of the bound; the caller holds the lock. The
 // oldest bucket may lie partly before the window: its retries count, its requests do not.
-func (b *WindowBudget) within(part float64) bool {
+func (b *WindowBudget) allows(part float64) bool {
 	firsts, repeats := 0, 0
-	oldest := int((b.step + 1) % (windowSteps + 1))
-	for i := range b.firsts {
-		repeats += b.repeats[i]
+	oldest := int((b.bucket + 1) % (windowBuckets + 1))
+	for i := range b.firstAttempts {
+		repeats += b.retries[i]
 		if i != oldest {
-			firsts += b.firsts[i]
+			firsts += b.firstAttempts[i]
 		}
 	}
-	share := slackUsed * b.bound.Slack / float64(max(b.bound.Daemons(), 1))
+	share := usedSlackShare * b.bound.Slack / float64(max(b.bound.Daemons(), 1))
 	return float64(repeats+1) <= part*(b.bound.Ratio*float64(firsts)+share)
 }
 
@@ -169,5 +169,5 @@
 func (b *WindowBudget) Spend(now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.repeats[b.advance(now)]++
+	b.retries[b.advance(now)]++
 }
--- a/request/endpointstate.go
+++ b/request/endpointstate.go
@@ -56,9 +56,9 @@
 	return fresh
 }
 
-// SayRest records that the endpoint asked this daemon to back off for d. It reports whether to announce it
+// RecordBackoff records that the endpoint asked this daemon to back off for d. It reports whether to announce it
 // to other daemons, which is not needed while a back-off is already known.
-func (t *Target) SayRest(now time.Time, d time.Duration) (tell bool) {
+func (t *Target) RecordBackoff(now time.Time, d time.Duration) (tell bool) {
 	tell = t.advertised.backoff.left(now) == 0 && t.advertised.othersBackoff.left(now) == 0
 	t.advertised.backoff.extend(now.Add(d))
 	return tell
--- a/request/limit.go
+++ b/request/limit.go
@@ -12,26 +12,26 @@
 // endpoints. It grows while first tokens arrive in time and shrinks when they do not, so that the daemons
 // converge on shares of the endpoints' capacity without coordination, and requests wait in the fair queues.
 type Limiter struct {
-	mu      sync.Mutex
-	limit   float64
-	most    float64
-	target  time.Duration
-	base    time.Duration // time to first token at an idle endpoint
-	lastCut time.Time
+	mu           sync.Mutex
+	limit        float64
+	maxLimit     float64
+	target       time.Duration
+	base         time.Duration // time to first token at an idle endpoint
+	lastDecrease time.Time
 }
 
 const (
-	limitLeast   = 2
-	limitShrink  = 0.85                   // factor of a decrease
-	limitGrowth  = 1.0                    // increase per as many timely answers as the limit
-	cutSpacing   = 500 * time.Millisecond // minimum time between decreases
-	targetShare  = 0.25                   // share of the target allowed for the wait at an endpoint
-	baseMultiple = 3                      // multiple of the base allowed for that wait, if longer
+	minLimit         = 2
+	decreaseFactor   = 0.85                   // factor of a decrease
+	increaseStep     = 1.0                    // increase per as many timely answers as the limit
+	decreaseInterval = 500 * time.Millisecond // minimum time between decreases
+	targetShare      = 0.25                   // share of the target allowed for the wait at an endpoint
+	baseMultiple     = 3                      // multiple of the base allowed for that wait, if longer
 )
 
 // NewLimiter returns a limiter that starts at the given limit.
 func NewLimiter(start int, target time.Duration) *Limiter {
-	return &Limiter{limit: float64(max(start, limitLeast)), most: math.Inf(1), target: target}
+	return &Limiter{limit: float64(max(start, minLimit)), maxLimit: math.Inf(1), target: target}
 }
 
 // SetCapacity sets the total concurrency of all endpoints, which bounds the limit. At the first call, the
@@ -39,18 +39,18 @@
 func (l *Limiter) SetCapacity(batch, daemons int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if math.IsInf(l.most, 1) {
-		l.limit = math.Max(limitLeast, float64(batch)/float64(max(daemons, 1)))
+	if math.IsInf(l.maxLimit, 1) {
+		l.limit = math.Max(minLimit, float64(batch)/float64(max(daemons, 1)))
 	}
-	l.most = float64(max(batch, limitLeast))
-	l.limit = math.Min(l.limit, l.most)
+	l.maxLimit = float64(max(batch, minLimit))
+	l.limit = math.Min(l.limit, l.maxLimit)
 }
 
 // Fix sets a constant limit, for comparison with the adaptive one.
 func (l *Limiter) Fix(limit int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.limit, l.most = float64(limit), float64(limit)
+	l.limit, l.maxLimit = float64(limit), float64(limit)
 }
 
 // Allowed returns the current limit.
@@ -73,46 +73,46 @@
 	bound := max(time.Duration(targetShare*float64(l.target)), baseMultiple*l.base)
 	if took <= bound {
 		if float64(running) >= 0.8*l.limit {
-			l.limit = math.Min(l.most, l.limit+limitGrowth/l.limit)
+			l.limit = math.Min(l.maxLimit, l.limit+increaseStep/l.limit)
 		}
 		return
 	}
-	l.shrink(now)
+	l.decrease(now)
 }
 
 // Overload decreases the limit after an endpoint refused work.
 func (l *Limiter) Overload(now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.shrink(now)
+	l.decrease(now)
 }
 
-func (l *Limiter) shrink(now time.Time) {
-	if now.Sub(l.lastCut) < cutSpacing {
+func (l *Limiter) decrease(now time.Time) {
+	if now.Sub(l.lastDecrease) < decreaseInterval {
 		return
 	}
-	l.lastCut = now
-	l.limit = math.Max(limitLeast, l.limit*limitShrink)
+	l.lastDecrease = now
+	l.limit = math.Max(minLimit, l.limit*decreaseFactor)
 }
 
 // Speed holds moving averages of the speed of a service.
 type Speed struct {
-	mu      sync.Mutex
-	token   float64 // seconds between two tokens
-	first   float64 // seconds to the first token without prefill
-	prefill float64 // prompt tokens per second
-	whole   float64 // seconds of a plain call
-	wholes  int     // plain calls in whole, up to usualAfter
+	mu         sync.Mutex
+	token      float64 // seconds between two tokens
+	first      float64 // seconds to the first token without prefill
+	prefill    float64 // prompt tokens per second
+	plainCall  float64 // seconds of a plain call
+	plainCalls int     // plain calls in whole, up to minPlainCalls
 }
 
 const (
 	speedWeight = 0.05
-	// usualAfter is the number of plain calls before Pace returns their mean. Up to it whole is the plain
+	// minPlainCalls is the number of plain calls before Pace returns their mean. Up to it whole is the plain
 	// mean, beyond it a moving average with speedWeight.
-	usualAfter = int(1 / speedWeight)
+	minPlainCalls = int(1 / speedWeight)
 )
 
-func blend(avg *float64, v float64) {
+func updateAverage(avg *float64, v float64) {
 	if *avg == 0 {
 		*avg = v
 		return
@@ -125,17 +125,17 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if tokens == 0 {
-		s.wholes = min(s.wholes+1, usualAfter)
-		s.whole += (total.Seconds() - s.whole) / float64(s.wholes)
+		s.plainCalls = min(s.plainCalls+1, minPlainCalls)
+		s.plainCall += (total.Seconds() - s.plainCall) / float64(s.plainCalls)
 		return
 	}
 	if tokens > 1 {
-		blend(&s.token, (total-first).Seconds()/float64(tokens-1))
+		updateAverage(&s.token, (total-first).Seconds()/float64(tokens-1))
 	}
 	if fresh >= 64 && first > 0 {
-		blend(&s.prefill, float64(fresh)/first.Seconds())
+		updateAverage(&s.prefill, float64(fresh)/first.Seconds())
 	} else {
-		blend(&s.first, first.Seconds())
+		updateAverage(&s.first, first.Seconds())
 	}
 }
 
@@ -144,7 +144,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if tokens == 0 {
-		return time.Duration(s.whole * float64(time.Second))
+		return time.Duration(s.plainCall * float64(time.Second))
 	}
 	sec := s.first + float64(tokens)*s.token
 	if s.prefill > 0 {
@@ -157,11 +157,11 @@
 func (s *Speed) Pace(plain bool) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if plain && s.wholes < usualAfter {
+	if plain && s.plainCalls < minPlainCalls {
 		return 0
 	}
 	if plain {
-		return time.Duration(s.whole * float64(time.Second))
+		return time.Duration(s.plainCall * float64(time.Second))
 	}
 	return time.Duration(s.token * float64(time.Second))
 }
--- a/request/permit.go
+++ b/request/permit.go
@@ -67,7 +67,7 @@
 // heed records the state that the endpoint advertises about itself in an answer.
 func (r *run) heed(t *Target, h AnswerHead) {
 	now, said := r.Now(), h.Said.Believed()
-	r.logBad(t, said.Bad)
+	r.logInvalid(t, said.Bad)
 	told := logrus.Fields{}
 	// An answer without an ID may come from a proxy in front of the endpoint, so that a missing limit means
 	// nothing.
@@ -79,7 +79,7 @@
 	if said.Leaves && t.RecordLeaving(now, r.opts.Drain) {
 		told["leaves"], told["left_ms"] = true, r.opts.Drain.Milliseconds()
 	}
-	if said.Rest > 0 && t.SayRest(now, said.Rest) {
+	if said.Rest > 0 && t.RecordBackoff(now, said.Rest) {
 		told["rest_ms"] = said.Rest.Milliseconds()
 	}
 	if len(told) == 0 {
@@ -92,8 +92,8 @@
 	}
 }
 
-// logBad logs invalid advertised values, unless the value was the last one logged for its kind.
-func (r *run) logBad(t *Target, bad []pace.Bad) {
+// logInvalid logs invalid advertised values, unless the value was the last one logged for its kind.
+func (r *run) logInvalid(t *Target, bad []pace.Bad) {
 	for _, b := range bad {
 		if t.advertised.recordInvalid(b) {
 			r.log.WithFields(logrus.Fields{"endpoint": t.ID, "value": b.Value, "request": r.r.ID}).
--- a/request/prefillcost.go
+++ b/request/prefillcost.go
@@ -9,12 +9,12 @@
 )
 
 const (
-	// readToken and readPair are the prior prefill times per token, and per million pairs of a token and an
-	// earlier one, in seconds: 50,000 tokens per second, as for a large engine on one accelerator. readStart
+	// tokenTime and pairTime are the prior prefill times per token, and per million pairs of a token and an
+	// earlier one, in seconds: 50,000 tokens per second, as for a large engine on one accelerator. startTime
 	// is the prior time from the end of prefill to the first event, in seconds.
-	readToken = 20e-6
-	readPair  = 0.3e-3
-	readStart = 20e-3
+	tokenTime = 20e-6
+	pairTime  = 0.3e-3
+	startTime = 20e-3
 	// priorTokens, priorPairs and priorStarts are the weights of the priors, as of samples.
 	priorTokens = 20
 	priorPairs  = 200
@@ -101,7 +101,7 @@
 // solve fits the coefficients by Cramer's rule. Each prior acts as samples of its variable alone.
 func (c *PrefillCost) solve() coefficients {
 	f, priorStart := c.fit, float64(priorStarts)
-	guess := [3]float64{readStart, readToken * 1e3, readPair}
+	guess := [3]float64{startTime, tokenTime * 1e3, pairTime}
 	if c.NoStart {
 		f.n, f.t, f.p, f.s, priorStart = 0, 0, 0, 0, 1
 		guess[0] = 0
--- a/request/slotusage.go
+++ b/request/slotusage.go
@@ -17,13 +17,13 @@
 	ends []time.Time // expected release times of the occupied slots, sorted
 }
 
-// Take records that a request occupies a slot for hold, starting at about from, at an engine with so many
+// Occupy records that a request occupies a slot for hold, starting at about from, at an engine with so many
 // slots for requests of other daemons. If all are occupied, it starts when the next is released, after
 // earlier requests.
-func (p *SlotUsage) Take(now, from time.Time, hold time.Duration, places int) {
+func (p *SlotUsage) Occupy(now, from time.Time, hold time.Duration, places int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.drop(now)
+	p.release(now)
 	if over := len(p.ends) - max(places, 1); over >= 0 && p.ends[over].After(from) {
 		from = p.ends[over]
 	}
@@ -41,8 +41,8 @@
 	}
 }
 
-// drop removes the slots that have been released by now; the caller holds the lock.
-func (p *SlotUsage) drop(now time.Time) {
+// release removes the slots that have been released by now; the caller holds the lock.
+func (p *SlotUsage) release(now time.Time) {
 	free := 0
 	for free < len(p.ends) && !p.ends[free].After(now) {
 		free++
@@ -55,17 +55,17 @@
 func (p *SlotUsage) Told(now time.Time, taken int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.drop(now)
+	p.release(now)
 	if over := len(p.ends) - max(taken, 0); over > 0 {
 		p.ends = slices.Delete(p.ends, 0, over)
 	}
 }
 
-// Taken returns the number of slots occupied by others.
-func (p *SlotUsage) Taken(now time.Time) int {
+// Occupied returns the number of slots occupied by others.
+func (p *SlotUsage) Occupied(now time.Time) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.drop(now)
+	p.release(now)
 	return len(p.ends)
 }
 
@@ -73,7 +73,7 @@
 func (p *SlotUsage) Wait(now time.Time, places int) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.drop(now)
+	p.release(now)
 	over := len(p.ends) - places
 	if over < 0 {
 		return 0
