--- a/request/trial.go
+++ b/request/trial.go
@@ -61,7 +61,7 @@
 	for n := 0; most > 0 && n < most; n++ {
 		var next *Target
 		for _, t := range all {
-			if s.RoleOf(t.Version) != rollout.Trial || used[t] || t.excluded.Load() {
+			if s.RoleOf(t.Version) != rollout.Trial || used[t] || t.out.Load() {
 				continue
 			}
 			if next == nil || mix(uint64(s.Number), t.hash) > mix(uint64(s.Number), next.hash) {
@@ -93,7 +93,7 @@
 // Ready counts the endpoints of a role that take requests.
 func (p *Pool) Ready(r rollout.Role) (n int) {
 	for _, t := range p.Targets() {
-		if t.Role() == r && !t.excluded.Load() {
+		if t.Role() == r && !t.out.Load() {
 			n++
 		}
 	}
