--- a/request/backlog.go
+++ b/request/backlog.go
@@ -166,7 +166,7 @@
 	start := b.cost.Start()
 	b.cost.Learn(m.fresh, m.total, start+time.Duration(float64(took-start)/b.pace))
 	took -= start
-	if m.fresh < sampleLeast || took <= 0 {
+	if m.fresh < minSampleTokens || took <= 0 {
 		return
 	}
 	sample := math.Min(math.Max(b.pace*float64(took)/float64(m.own), paceMin), paceMax)
@@ -254,8 +254,8 @@
 // quiet day of nine engines).
 var preferredHit = [...]float64{0.7, 0.3}
 
-// tieBreak is the range, in seconds, of the random term that spreads prompts over equally good endpoints.
-const tieBreak = 0.004
+// tieBreakRange is the range, in seconds, of the random term that spreads prompts over equally good endpoints.
+const tieBreakRange = 0.004
 
 // preferredTargets are the first endpoints in the rendezvous order of a prompt's shared prefix.
 type preferredTargets [len(preferredHit)]*Target
@@ -322,7 +322,7 @@
 		if place := preferred.place(t); place >= 0 {
 			score -= preferredHit[place] * (1 + recomputePartWeight) * shared
 		}
-		score += tieBreak * float64(mix(n.Draw, t.hash)%1024) / 1024
+		score += tieBreakRange * float64(mix(n.Draw, t.hash)%1024) / 1024
 		holds := n.Pause > 0 && n.Without.On(mechanism.SetApart) && float64(r.MaxPause) > maxPauseShare*float64(n.Pause)
 		switch {
 		case holds:
--- a/request/overload_test.go
+++ b/request/overload_test.go
@@ -11,15 +11,15 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// fewKinds is a load that exceeds the engines' capacity after half of them have been reclaimed.
-var fewKinds = []kindOf{
+// overloadKinds is a load that exceeds the engines' capacity after half of them have been reclaimed.
+var overloadKinds = []promptKind{
 	{"digest", 68, 5382, 6610, 1.4, 54600, 402, 24, 1200 * time.Millisecond, 360 * time.Millisecond, 4.5},
 	{"explain", 155, 198, 628, 1, 3310, 795, 24, 600 * time.Millisecond, 480 * time.Millisecond, 2.3},
 	{"tag", 153, 568, 1800, 1.3, 6870, 908, 2, 800 * time.Millisecond, 270 * time.Millisecond, 0.33},
 }
 
 // value returns the share of the total worth that callers receive: a late answer is worth a tenth.
-func (p *placing) value() float64 {
+func (p *placementSim) value() float64 {
 	got, all := 0.0, 0.0
 	for k, kind := range p.kinds {
 		late := p.sent[k] - p.inTime[k] - p.refused[k]
@@ -40,7 +40,7 @@
 		for seed := range uint64(2) {
 			t.Run(fmt.Sprint(engines, "/", seed), func(t *testing.T) {
 				t.Parallel()
-				p := (&placing{between: true}).play(seed, fewKinds, 60, engines, 12*time.Second)
+				p := (&placementSim{prefillDelays: true}).play(seed, overloadKinds, 60, engines, 12*time.Second)
 				for k, kind := range p.kinds {
 					t.Logf("%s: %d sent, %d in time, %d refused", kind.name, p.sent[k], p.inTime[k], p.refused[k])
 				}
--- a/request/placement_test.go
+++ b/request/placement_test.go
@@ -25,8 +25,8 @@
 // Simulation, in virtual time and without a network, of many daemons that route prompts to engines with few
 // slots, with delayed information about each other's requests.
 
-// kindOf describes one kind of prompt in a simulated load.
-type kindOf struct {
+// promptKind describes one kind of prompt in a simulated load.
+type promptKind struct {
 	name        string
 	rate        float64 // requests per second
 	shared, own int     // tokens
@@ -39,15 +39,15 @@
 	worth       float64       // value of an answer in time
 }
 
-// The own parts of evenKinds are exponentially distributed; some of tailedKinds are so long that their
+// The own parts of exponentialKinds are exponentially distributed; some of longTailKinds are so long that their
 // prefill makes concurrent streams late.
 var (
-	evenKinds = []kindOf{
+	exponentialKinds = []promptKind{
 		{"digest", 165, 5400, 6600, 0, 0, 1650, 32, 1200 * time.Millisecond, 0, 0},
 		{"explain", 218, 200, 630, 0, 0, 966, 24, 800 * time.Millisecond, 0, 0},
 		{"tag", 373, 570, 1800, 0, 0, 3722, 2, 800 * time.Millisecond, 0, 0},
 	}
-	tailedKinds = []kindOf{
+	longTailKinds = []promptKind{
 		{"digest", 165, 5400, 6600, 1.4, 54600, 1650, 32, 1200 * time.Millisecond, 0, 0},
 		{"explain", 218, 200, 630, 1, 3300, 966, 24, 800 * time.Millisecond, 0, 0},
 		{"tag", 373, 570, 1800, 1.3, 6900, 3722, 2, 800 * time.Millisecond, 0, 0},
@@ -55,12 +55,12 @@
 )
 
 const (
-	deskPlaces = 12
-	deskMemory = 380000
-	deskStep   = 4300 * time.Microsecond // one token of each running stream
-	deskEvent  = 12                      // tokens per event
-	deskChunk  = 4096                    // prompt tokens processed between two decode steps
-	deskPause  = 600 * time.Millisecond  // longest pause between events that is in time
+	engineSlots    = 12
+	engineMemory   = 380000
+	decodeStep     = 4300 * time.Microsecond // one token of each running stream
+	tokensPerEvent = 12                      // tokens per event
+	prefillChunk   = 4096                    // prompt tokens processed between two decode steps
+	maxPause       = 600 * time.Millisecond  // longest pause between events that is in time
 )
 
 // job is a simulated request.
@@ -81,9 +81,9 @@
 	read   time.Duration // the daemon's estimate of its engine's total prefill at the first event
 }
 
-// desk is a simulated engine: it runs up to deskPlaces requests, prefills one prompt at a time, and caches
+// simEngine is a simulated engine: it runs up to engineSlots requests, prefills one prompt at a time, and caches
 // the shared parts.
-type desk struct {
+type simEngine struct {
 	running map[*job]bool
 	free    time.Time // end of the prefill of its running requests
 	queue   []*job
@@ -91,60 +91,60 @@
 	tokens  int
 }
 
-// moment is a simulated event; seq orders events of the same time.
-type moment struct {
+// simEvent is a simulated event; seq orders events of the same time.
+type simEvent struct {
 	at  time.Time
 	seq int
 	do  func(now time.Time)
 }
 
-// agenda is a heap of events ordered by time.
-type agenda struct {
-	list []moment
+// eventQueue is a heap of events ordered by time.
+type eventQueue struct {
+	list []simEvent
 	seq  int
 }
 
-func (a *agenda) Len() int { return len(a.list) }
-func (a *agenda) Less(i, j int) bool {
+func (a *eventQueue) Len() int { return len(a.list) }
+func (a *eventQueue) Less(i, j int) bool {
 	if a.list[i].at.Equal(a.list[j].at) {
 		return a.list[i].seq < a.list[j].seq
 	}
 	return a.list[i].at.Before(a.list[j].at)
 }
-func (a *agenda) Swap(i, j int) { a.list[i], a.list[j] = a.list[j], a.list[i] }
-func (a *agenda) Push(x any)    { a.list = append(a.list, x.(moment)) }
-func (a *agenda) Pop() any {
+func (a *eventQueue) Swap(i, j int) { a.list[i], a.list[j] = a.list[j], a.list[i] }
+func (a *eventQueue) Push(x any)    { a.list = append(a.list, x.(simEvent)) }
+func (a *eventQueue) Pop() any {
 	x := a.list[len(a.list)-1]
 	a.list = a.list[:len(a.list)-1]
 	return x
 }
-func (a *agenda) add(at time.Time, do func(now time.Time)) {
+func (a *eventQueue) add(at time.Time, do func(now time.Time)) {
 	a.seq++
-	heap.Push(a, moment{at, a.seq, do})
+	heap.Push(a, simEvent{at, a.seq, do})
 }
 
-// placing runs the simulation and counts, by kind, the prompts answered in time.
-type placing struct {
-	rng     *rand.Rand
-	kinds   []kindOf
-	agenda  agenda
-	daemons []*request.Server
-	desks   map[string]*desk
-	warm    time.Time // requests sent before are not counted
-	sent    [3]int
-	inTime  [3]int
-	refused [3]int
-	between bool // prefill delays the engine's running streams
+// placementSim runs the simulation and counts, by kind, the prompts answered in time.
+type placementSim struct {
+	rng           *rand.Rand
+	kinds         []promptKind
+	events        eventQueue
+	daemons       []*request.Server
+	engines       map[string]*simEngine
+	countFrom     time.Time // requests sent before are not counted
+	sent          [3]int
+	inTime        [3]int
+	refused       [3]int
+	prefillDelays bool // prefill delays the engine's running streams
 }
 
-// placeOn simulates a load on so many engines for a span, whose first two fifths are not counted.
-func placeOn(seed uint64, kinds []kindOf, daemons, engines int, span time.Duration) *placing {
-	return (&placing{}).play(seed, kinds, daemons, engines, span)
+// simulatePlacement simulates a load on so many engines for a span, whose first two fifths are not counted.
+func simulatePlacement(seed uint64, kinds []promptKind, daemons, engines int, span time.Duration) *placementSim {
+	return (&placementSim{}).play(seed, kinds, daemons, engines, span)
 }
 
-func (p *placing) play(seed uint64, kinds []kindOf, daemons, engines int, span time.Duration) *placing {
-	*p = placing{between: p.between, kinds: kinds, rng: rand.New(rand.NewPCG(seed, 1)), desks: make(map[string]*desk), warm: start.Add(span * 2 / 5)}
-	svc := version.Service{Name: "desk", PerBox: deskPlaces}
+func (p *placementSim) play(seed uint64, kinds []promptKind, daemons, engines int, span time.Duration) *placementSim {
+	*p = placementSim{prefillDelays: p.prefillDelays, kinds: kinds, rng: rand.New(rand.NewPCG(seed, 1)), engines: make(map[string]*simEngine), countFrom: start.Add(span * 2 / 5)}
+	svc := version.Service{Name: "desk", PerBox: engineSlots}
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	o := request.Defaults()
@@ -152,14 +152,14 @@
 	for range daemons {
 		s := request.NewServer(o, conn.NewClient(standin.NewNet(), 1), nil, nil, log)
 		for i := range engines {
-			s.Works.Get(&svc).Pool.Add(request.Endpoint{ID: fmt.Sprint("e-", i), Zone: "z", Slots: deskPlaces, Memory: deskMemory})
+			s.Works.Get(&svc).Pool.Add(request.Endpoint{ID: fmt.Sprint("e-", i), Zone: "z", Slots: engineSlots, Memory: engineMemory})
 		}
 		p.daemons = append(p.daemons, s)
 	}
 	for i := range engines {
-		d := &desk{running: make(map[*job]bool)}
+		d := &simEngine{running: make(map[*job]bool)}
 		d.kept, _ = simplelru.NewLRU[uint64, int](1<<20, func(_ uint64, n int) { d.tokens -= n })
-		p.desks[fmt.Sprint("e-", i)] = d
+		p.engines[fmt.Sprint("e-", i)] = d
 	}
 	end := start.Add(span)
 	for k, kind := range kinds {
@@ -170,20 +170,20 @@
 		next = func(now time.Time) {
 			p.arrive(now, k)
 			if at := now.Add(gap()); at.Before(end) {
-				p.agenda.add(at, next)
+				p.events.add(at, next)
 			}
 		}
-		p.agenda.add(start.Add(gap()), next)
+		p.events.add(start.Add(gap()), next)
 	}
-	for p.agenda.Len() > 0 {
-		m := heap.Pop(&p.agenda).(moment)
+	for p.events.Len() > 0 {
+		m := heap.Pop(&p.events).(simEvent)
 		m.do(m.at)
 	}
 	return p
 }
 
 // own draws the number of tokens of a prompt's own part.
-func (p *placing) own(kind kindOf) int {
+func (p *placementSim) own(kind promptKind) int {
 	if kind.spread == 0 {
 		return 1 + int(float64(kind.own)*p.rng.ExpFloat64())
 	}
@@ -192,7 +192,7 @@
 }
 
 // arrive creates a prompt at a random daemon.
-func (p *placing) arrive(now time.Time, k int) {
+func (p *placementSim) arrive(now time.Time, k int) {
 	kind := p.kinds[k]
 	head := uint64(k)<<32 | uint64(p.rng.IntN(kind.heads))<<1 | 1
 	own := p.own(kind)
@@ -200,15 +200,15 @@
 	p.place(now, j)
 }
 
-// comeBack is the delay after which a refused caller retries, once.
-const comeBack = 400 * time.Millisecond
+// retryDelay is the delay after which a refused caller retries, once.
+const retryDelay = 400 * time.Millisecond
 
 // place routes a prompt at its daemon, or refuses it.
-func (p *placing) place(now time.Time, j *job) {
+func (p *placementSim) place(now time.Time, j *job) {
 	kind, head := p.kinds[j.kind], j.parts[0].ID
 	pool := p.daemons[j.daemon].Works.All()[0].Pool
 	c, ok := pool.Route(now, request.Need{
-		Prefix: head, Prompt: kind.shared + j.parts[1].Tokens, Parts: j.parts, Pause: deskPause, Service: 1500 * time.Millisecond, Homes: true, Draw: p.rng.Uint64(),
+		Prefix: head, Prompt: kind.shared + j.parts[1].Tokens, Parts: j.parts, Pause: maxPause, Service: 1500 * time.Millisecond, Homes: true, Draw: p.rng.Uint64(),
 	})
 	if !ok {
 		return
@@ -216,10 +216,10 @@
 	if kind.limit > 0 && c.WaitsBeyond(kind.limit) {
 		if !j.again {
 			j.again, j.daemon = true, p.rng.IntN(len(p.daemons))
-			p.agenda.add(now.Add(comeBack), func(now time.Time) { p.place(now, j) })
+			p.events.add(now.Add(retryDelay), func(now time.Time) { p.place(now, j) })
 			return
 		}
-		if !j.sent.Before(p.warm) {
+		if !j.sent.Before(p.countFrom) {
 			p.sent[j.kind]++
 			p.refused[j.kind]++
 		}
@@ -228,21 +228,21 @@
 	j.target = c.Target
 	c.Target.Begin(nil)
 	var word request.Sent
-	j.guess = int(float64(j.events*deskEvent) * math.Exp(0.5*p.rng.NormFloat64()))
+	j.guess = int(float64(j.events*tokensPerEvent) * math.Exp(0.5*p.rng.NormFloat64()))
 	j.mark, word = c.Target.Send(now, c.Fresh, j.parts, j.guess)
 	for i, d := range p.daemons {
 		if i != j.daemon {
-			p.agenda.add(now.Add(time.Duration(15+p.rng.IntN(120))*time.Millisecond), func(now time.Time) { d.Works.HearSent(now, word) })
+			p.events.add(now.Add(time.Duration(15+p.rng.IntN(120))*time.Millisecond), func(now time.Time) { d.Works.HearSent(now, word) })
 		}
 	}
-	e := p.desks[c.Target.ID]
+	e := p.engines[c.Target.ID]
 	e.queue = append(e.queue, j)
 	p.begin(now, e)
 }
 
 // begin starts an engine's queued prompts in its free slots.
-func (p *placing) begin(now time.Time, e *desk) {
-	for len(e.running) < deskPlaces && len(e.queue) > 0 {
+func (p *placementSim) begin(now time.Time, e *simEngine) {
+	for len(e.running) < engineSlots && len(e.queue) > 0 {
 		j := e.queue[0]
 		e.queue = e.queue[1:]
 		e.running[j] = true
@@ -252,37 +252,37 @@
 			e.tokens += j.parts[0].Tokens
 		}
 		e.kept.Add(j.parts[0].ID, j.parts[0].Tokens)
-		for e.tokens > deskMemory*7/10 {
+		for e.tokens > engineMemory*7/10 {
 			e.kept.RemoveOldest()
 		}
 		read := readTime(fresh, total)
 		began := latest(e.free, now)
 		e.free = began.Add(read)
 		for other := range e.running {
-			if p.between && other != j && other.begun {
+			if p.prefillDelays && other != j && other.begun {
 				other.end = other.end.Add(read) // no token is generated during the prefill of a chunk
 			}
 		}
 		if p.kinds[j.kind].spread > 0 {
-			p.agenda.add(began, func(time.Time) { e.holdUp(j, fresh, total) })
+			p.events.add(began, func(time.Time) { e.markLateStreams(j, fresh, total) })
 		}
-		first := e.free.Add(deskStep)
-		p.agenda.add(first, func(now time.Time) {
+		first := e.free.Add(decodeStep)
+		p.events.add(first, func(now time.Time) {
 			p.first(now, j)
 			// Prefill after this prompt delays its answer.
-			j.end = now.Add(time.Duration((j.events-1)*deskEvent) * deskStep)
-			if p.between {
+			j.end = now.Add(time.Duration((j.events-1)*tokensPerEvent) * decodeStep)
+			if p.prefillDelays {
 				j.end = j.end.Add(max(0, e.free.Sub(now)))
 			}
-			p.agenda.add(j.end, func(now time.Time) { p.last(now, e, j) })
+			p.events.add(j.end, func(now time.Time) { p.last(now, e, j) })
 		})
 	}
 }
 
 // last completes an answer, unless its end has been postponed.
-func (p *placing) last(now time.Time, e *desk, j *job) {
+func (p *placementSim) last(now time.Time, e *simEngine, j *job) {
 	if now.Before(j.end) {
-		p.agenda.add(j.end, func(now time.Time) { p.last(now, e, j) })
+		p.events.add(j.end, func(now time.Time) { p.last(now, e, j) })
 		return
 	}
 	j.target.End(nil)
@@ -298,25 +298,25 @@
 	return time.Duration((float64(fresh)/64200 + pairs*0.647e-3) * float64(time.Second))
 }
 
-// holdUp marks the concurrent streams of a prompt as late if its prefill makes the pause between two of
+// markLateStreams marks the concurrent streams of a prompt as late if its prefill makes the pause between two of
 // their events too long: one chunk is processed per token of the event.
-func (e *desk) holdUp(j *job, fresh, total int) {
-	pause := readTime(min(fresh, deskEvent*deskChunk), total) + deskEvent*deskStep
+func (e *simEngine) markLateStreams(j *job, fresh, total int) {
+	pause := readTime(min(fresh, tokensPerEvent*prefillChunk), total) + tokensPerEvent*decodeStep
 	for other := range e.running {
-		if other != j && other.begun && pause > deskPause {
+		if other != j && other.begun && pause > maxPause {
 			other.late = true
 		}
 	}
 }
 
-func (p *placing) first(now time.Time, j *job) {
+func (p *placementSim) first(now time.Time, j *job) {
 	j.target.Begun(now, j.mark)
 	j.begun, j.began, j.read = true, now, j.target.ReadingDone(now)
 	j.late = now.Sub(j.sent) > p.kinds[j.kind].target
 }
 
-func (p *placing) count(j *job) {
-	if j.sent.Before(p.warm) {
+func (p *placementSim) count(j *job) {
+	if j.sent.Before(p.countFrom) {
 		return
 	}
 	p.sent[j.kind]++
@@ -326,8 +326,8 @@
 }
 
 // share returns the share of a kind that was in time.
-func (p *placing) share(kind string) float64 {
-	k := slices.IndexFunc(p.kinds, func(x kindOf) bool { return x.name == kind })
+func (p *placementSim) share(kind string) float64 {
+	k := slices.IndexFunc(p.kinds, func(x promptKind) bool { return x.name == kind })
 	return float64(p.inTime[k]) / float64(p.sent[k])
 }
 
@@ -348,13 +348,13 @@
 	for seed := range uint64(4) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			placeOn(seed, evenKinds, 60, 76, 25*time.Second).check(t, least)
+			simulatePlacement(seed, exponentialKinds, 60, 76, 25*time.Second).check(t, least)
 		})
 	}
 }
 
 // check requires that more than the given share of each kind was in time.
-func (p *placing) check(t *testing.T, least map[string]float64) {
+func (p *placementSim) check(t *testing.T, least map[string]float64) {
 	for _, kind := range p.kinds {
 		share := p.share(kind.name)
 		t.Logf("%.3f of %s in time", share, kind.name)
@@ -372,7 +372,7 @@
 	for seed := range uint64(3) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			placeOn(seed, tailedKinds, 40, 120, 12*time.Second).check(t, least)
+			simulatePlacement(seed, longTailKinds, 40, 120, 12*time.Second).check(t, least)
 		})
 	}
 }
--- a/request/pool.go
+++ b/request/pool.go
@@ -33,7 +33,7 @@
 	savedStates stateMemory      // advertised state of endpoints without an entry
 	batch       int              // default concurrency of an endpoint
 
-	ticked time.Time
+	lastTick time.Time
 
 	hits  hitMemory
 	cost  PrefillCost
@@ -194,10 +194,10 @@
 func (p *Pool) Tick(now time.Time) {
 	p.mu.Lock()
 	fade := 0.0
-	if !p.ticked.IsZero() {
-		fade = 1 - math.Pow(0.5, now.Sub(p.ticked).Seconds()/sentHalfLife.Seconds())
+	if !p.lastTick.IsZero() {
+		fade = 1 - math.Pow(0.5, now.Sub(p.lastTick).Seconds()/sentHalfLife.Seconds())
 	}
-	p.ticked = now
+	p.lastTick = now
 	p.mu.Unlock()
 	for _, t := range p.Targets() {
 		t.Return(now)
@@ -267,10 +267,10 @@
 	lru *simplelru.LRU[hitKey, float32]
 }
 
-// hitsKept is the capacity of hitMemory, at about 40 bytes per entry.
-const hitsKept = 16384
+// hitMemorySize is the capacity of hitMemory, at about 40 bytes per entry.
+const hitMemorySize = 16384
 
-func (h *hitMemory) init() { h.lru, _ = simplelru.NewLRU[hitKey, float32](hitsKept, nil) }
+func (h *hitMemory) init() { h.lru, _ = simplelru.NewLRU[hitKey, float32](hitMemorySize, nil) }
 
 func (h *hitMemory) set(k hitKey, share float32) {
 	h.mu.Lock()
--- a/request/prefillcost.go
+++ b/request/prefillcost.go
@@ -15,28 +15,28 @@
 	tokenTime = 20e-6
 	pairTime  = 0.3e-3
 	startTime = 20e-3
-	// priorTokens, priorPairs and priorStarts are the weights of the priors, as of samples.
-	priorTokens = 20
-	priorPairs  = 200
-	priorStarts = 2
-	// sampleLeast is the minimum number of tokens of a sample for an engine's pace, or, with NoStart, for
+	// priorTokenWeight, priorPairWeight and priorStartWeight are the weights of the priors, as of samples.
+	priorTokenWeight = 20
+	priorPairWeight  = 200
+	priorStartWeight = 2
+	// minSampleTokens is the minimum number of tokens of a sample for an engine's pace, or, with NoStart, for
 	// the fit.
-	sampleLeast = 2000
-	// sampleTimes clamps a sample to this factor of the expected time, in both directions: an engine that
+	minSampleTokens = 2000
+	// maxSampleFactor clamps a sample to this factor of the expected time, in both directions: an engine that
 	// hung, or that was busy with a prompt just sent by another daemon, says nothing about prefill. A wrong
 	// estimate can still double with each sample.
-	sampleTimes = 2
-	// forget is the exponential decay of the weight of earlier samples, per sample.
-	forget = 0.98
+	maxSampleFactor = 2
+	// sampleDecay is the exponential decay of the weight of earlier samples, per sample.
+	sampleDecay = 0.98
 	// timesWeight is the weight of one prompt in the moving average of prefill times.
 	timesWeight = 0.002
 	// chunkTokens is the prefill chunk: the prompt tokens that an engine processes between two decode steps.
 	chunkTokens = 4096
 	// eventTokens is the initial estimate of decode steps (tokens) per event; eventStep is the relative
-	// change per answer, and eventLeast the minimum number of events of an answer that counts.
+	// change per answer, and minEvents the minimum number of events of an answer that counts.
 	eventTokens = 5
 	eventStep   = 0.03
-	eventLeast  = 8
+	minEvents   = 8
 )
 
 // PrefillCost models the time to the first event of an answer at the engines of a service: a time per prompt
@@ -47,13 +47,13 @@
 type PrefillCost struct {
 	NoStart bool // counts the start time as prefill, for comparison
 
-	mu    sync.Mutex
-	total time.Duration // prefill time of all prompts sent
-	mean  float64       // moving average of the prefill time, in seconds
-	sqr   float64       // moving average of its square
-	fit   fit
-	known coefficients // solution of fit, valid if fresh
-	fresh bool
+	mu         sync.Mutex
+	total      time.Duration // prefill time of all prompts sent
+	mean       float64       // moving average of the prefill time, in seconds
+	meanSquare float64       // moving average of its square
+	fit        fit
+	known      coefficients // solution of fit, valid if fresh
+	fresh      bool
 
 	event float64 // tokens per event; 0 while not known
 }
@@ -68,7 +68,7 @@
 // add decays the sums and adds a sample.
 func (f *fit) add(t, p, s float64) {
 	for _, sum := range []*float64{&f.n, &f.t, &f.p, &f.s, &f.tt, &f.tp, &f.pp, &f.ts, &f.ps} {
-		*sum *= forget
+		*sum *= sampleDecay
 	}
 	f.n++
 	f.t += t
@@ -100,16 +100,16 @@
 
 // solve fits the coefficients by Cramer's rule. Each prior acts as samples of its variable alone.
 func (c *PrefillCost) solve() coefficients {
-	f, priorStart := c.fit, float64(priorStarts)
+	f, priorStart := c.fit, float64(priorStartWeight)
 	guess := [3]float64{startTime, tokenTime * 1e3, pairTime}
 	if c.NoStart {
 		f.n, f.t, f.p, f.s, priorStart = 0, 0, 0, 0, 1
 		guess[0] = 0
 	}
 	ofStart := [3]float64{f.n + priorStart, f.t, f.p}
-	ofToken := [3]float64{f.t, f.tt + priorTokens, f.tp}
-	ofPair := [3]float64{f.p, f.tp, f.pp + priorPairs}
-	right := [3]float64{f.s + priorStart*guess[0], f.ts + priorTokens*guess[1], f.ps + priorPairs*guess[2]}
+	ofToken := [3]float64{f.t, f.tt + priorTokenWeight, f.tp}
+	ofPair := [3]float64{f.p, f.tp, f.pp + priorPairWeight}
+	right := [3]float64{f.s + priorStart*guess[0], f.ts + priorTokenWeight*guess[1], f.ps + priorPairWeight*guess[2]}
 	det := det3(ofStart, ofToken, ofPair)
 	if det <= 0 {
 		return coefficients{guess[0], guess[1], guess[2]}
@@ -160,7 +160,7 @@
 // had expected. Such an estimate may be far off but is right at the median, to which steps of equal size
 // converge.
 func (c *PrefillCost) LearnEvents(tokens, events int) {
-	if tokens <= 0 || events < eventLeast {
+	if tokens <= 0 || events < minEvents {
 		return
 	}
 	c.mu.Lock()
@@ -177,7 +177,7 @@
 
 // Learn adds the time to the first event of a prompt that was sent to an idle engine.
 func (c *PrefillCost) Learn(fresh, total int, took time.Duration) {
-	if c.NoStart && fresh < sampleLeast {
+	if c.NoStart && fresh < minSampleTokens {
 		return
 	}
 	c.mu.Lock()
@@ -187,7 +187,7 @@
 	expected := k.start + t*k.token + p*k.pair
 	s := took.Seconds()
 	if !c.NoStart {
-		s = math.Min(math.Max(s, expected/sampleTimes), expected*sampleTimes)
+		s = math.Min(math.Max(s, expected/maxSampleFactor), expected*maxSampleFactor)
 	}
 	c.fit.add(t, p, s)
 	c.fresh = false
@@ -200,11 +200,11 @@
 	c.total += d
 	s := d.Seconds()
 	if c.mean == 0 {
-		c.mean, c.sqr = s, s*s
+		c.mean, c.meanSquare = s, s*s
 		return
 	}
 	c.mean += timesWeight * (s - c.mean)
-	c.sqr += timesWeight * (s*s - c.sqr)
+	c.meanSquare += timesWeight * (s*s - c.meanSquare)
 }
 
 // Times returns the mean prefill time of recently sent prompts and its squared coefficient of variation.
@@ -214,7 +214,7 @@
 	if c.mean <= 0 {
 		return 0, 0
 	}
-	return time.Duration(c.mean * float64(time.Second)), c.sqr/(c.mean*c.mean) - 1
+	return time.Duration(c.mean * float64(time.Second)), c.meanSquare/(c.mean*c.mean) - 1
 }
 
 // Counted returns the total prefill time of all prompts sent to the engines.
--- a/request/route.go
+++ b/request/route.go
@@ -138,8 +138,8 @@
 	return float64(t.load.Load()) / math.Max(r, rampStart)
 }
 
-// secondDraw derives a second random number from a draw.
-const secondDraw = 0x5bd1e995
+// secondDrawSalt derives a second random number from a draw.
+const secondDrawSalt = 0x5bd1e995
 
 // pick returns a number below n, determined by the draw.
 func pick(draw uint64, n int) int { return int(mix(draw, uint64(n)) % uint64(n)) }
@@ -229,7 +229,7 @@
 	if len(ts) == 0 {
 		return nil
 	}
-	a, b := ts[pick(n.Draw, len(ts))], ts[pick(mix(n.Draw, secondDraw), len(ts))]
+	a, b := ts[pick(n.Draw, len(ts))], ts[pick(mix(n.Draw, secondDrawSalt), len(ts))]
 	switch {
 	case !a.open(n) && !b.open(n):
 		return nil
