--- a/request/backlog.go
+++ b/request/backlog.go
@@ -12,89 +12,87 @@
 	"streambend.example/mechanism"
 )
 
-// Part is a piece of a prompt; the pieces before the last are shared between
-// requests and stay in an engine's cache.
+// Part is a segment of a prompt. All segments but the last are shared between requests and stay in an
+// engine's prefix cache.
 type Part struct {
 	ID     uint64 `codec:"i"`
 	Tokens int    `codec:"t"`
 }
 
 const (
-	// cacheParts bounds how many parts are remembered of an engine, at about
-	// 100 bytes each.
-	cacheParts = 512
-	// cacheShare is the part of an engine's memory that is taken to hold shared
-	// parts; requests that run need the rest.
+	// maxCachedParts is the maximum number of cached parts tracked per engine, at about 100 bytes each.
+	maxCachedParts = 512
+	// cacheShare is the assumed share of an engine's KV memory that caches shared parts; running requests
+	// use the rest.
 	cacheShare = 0.7
-	// paceWeight is the weight of one sample of an engine's own pace, and
-	// paceLeast and paceMost bound that pace against odd samples.
+	// paceWeight is the weight of one sample in an engine's pace; paceMin and paceMax bound the samples
+	// against outliers.
 	paceWeight = 0.1
-	paceLeast  = 0.5
-	paceMost   = 8
+	paceMin    = 0.5
+	paceMax    = 8
 )
 
-// Backlog is what is known of the prompts that an engine has still to read and
-// of the parts that it keeps. It is modelled from what the daemons have sent
-// there, since an engine's own report is old on arrival.
+// Backlog estimates the pending prefill work of an engine and the parts in its prefix cache. It is modelled
+// from what the daemons have sent there, since an engine's own report is stale on arrival.
 type Backlog struct {
-	cost *ReadCost // of the service's engines
-
-	mu     sync.Mutex
-	left   time.Duration // of reading at the moment at
-	at     time.Time
-	added  time.Duration // of reading ever added
-	pace   float64       // time that the engine takes, as a multiple of the service's
-	parts  *simplelru.LRU[uint64, int]
-	kept   int // tokens of the parts remembered
-	memory int // tokens that may be kept; 0 for no bound
+	cost *PrefillCost // of the service's engines
+
+	mu            sync.Mutex
+	pending       time.Duration // pending prefill time at the time at
+	at            time.Time
+	added         time.Duration // prefill time added in total
+	pace          float64       // the engine's prefill time relative to the service's
+	parts         *simplelru.LRU[uint64, int]
+	cachedTokens  int // tokens of the tracked parts
+	cacheCapacity int // capacity for cached tokens; 0 for no bound
 }
 
-func newBacklog(cost *ReadCost, memory int) *Backlog {
-	b := &Backlog{cost: cost, pace: 1, memory: int(cacheShare * float64(memory))}
-	b.parts, _ = simplelru.NewLRU(cacheParts, func(_ uint64, tokens int) { b.kept -= tokens }) // the size is above 0
+func newBacklog(cost *PrefillCost, memory int) *Backlog {
+	b := &Backlog{cost: cost, pace: 1, cacheCapacity: int(cacheShare * float64(memory))}
+	b.parts, _ = simplelru.NewLRU(maxCachedParts, func(_ uint64, tokens int) { b.cachedTokens -= tokens }) // fails only for a size below 1
 	return b
 }
 
-// Left returns how long the engine reads what it has.
+// Left returns the pending prefill time of the engine.
 func (b *Backlog) Left(now time.Time) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.drain(now)
-	return b.left
+	return b.pending
 }
 
-// drain brings the backlog up to now; the caller holds the lock.
+// drain subtracts the time passed since the last update; the caller holds the lock.
 func (b *Backlog) drain(now time.Time) {
 	if dt := now.Sub(b.at); dt > 0 {
-		b.left = max(0, b.left-dt)
+		b.pending = max(0, b.pending-dt)
 		b.at = now
 	}
 }
 
-// Done returns how long the engine has read in all.
+// Done returns the total prefill time that the engine has completed.
 func (b *Backlog) Done(now time.Time) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.drain(now)
-	return b.added - b.left
+	return b.added - b.pending
 }
 
-// Reading is an engine's state towards one prompt.
-type Reading struct {
-	Wait   time.Duration // until it begins to read the prompt
-	Own    time.Duration // to read what it has not kept of it
-	Start  time.Duration // from then to the first event
-	Fresh  int           // tokens that it has not kept
-	Shared int           // those of them that other requests share
-	Held   time.Duration // the longest pause of the streams that run beside
+// PrefillEstimate is the estimated prefill of one prompt at an engine.
+type PrefillEstimate struct {
+	Wait     time.Duration // until prefill begins
+	Own      time.Duration // prefill of the tokens that are not cached
+	Start    time.Duration // from the end of prefill to the first event
+	Fresh    int           // tokens that are not cached
+	Shared   int           // the part of Fresh that other requests share
+	MaxPause time.Duration // longest pause that the prefill causes in concurrent streams
 }
 
-// Read returns how long a prompt takes to be read at the engine.
-func (b *Backlog) Read(now time.Time, parts []Part) Reading {
+// Estimate estimates the prefill of a prompt at the engine.
+func (b *Backlog) Estimate(now time.Time, parts []Part) PrefillEstimate {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.drain(now)
-	r := Reading{Wait: b.left}
+	r := PrefillEstimate{Wait: b.pending}
 	kept, total := true, 0
 	for i, p := range parts {
 		total += p.Tokens
@@ -109,57 +107,58 @@
 	}
 	r.Start = b.cost.Start()
 	r.Own = time.Duration(b.pace * float64(b.cost.Time(r.Fresh, total)))
-	r.Held = time.Duration(b.pace * float64(b.cost.Held(r.Fresh, total)))
+	r.MaxPause = time.Duration(b.pace * float64(b.cost.MaxPause(r.Fresh, total)))
 	return r
 }
 
-// Mark names a prompt's place in the backlog.
+// Mark is the position of a prompt in the backlog.
 type Mark struct {
-	added time.Duration // up to and with the prompt
-	alone bool          // nothing was ahead of it
+	added time.Duration // prefill time added up to and including the prompt
+	alone bool          // the backlog was empty before it
 	own   time.Duration
 	fresh int
 	total int
 	at    time.Time
 }
 
-// Add takes in that a prompt of so many tokens in all was sent to the engine.
+// Add records that a prompt was sent to the engine, with fresh of its total tokens not cached there.
 func (b *Backlog) Add(now time.Time, fresh, total int, shared []Part) Mark {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.drain(now)
 	own := time.Duration(b.pace * float64(b.cost.Time(fresh, total)))
-	m := Mark{alone: b.left == 0, own: own, fresh: fresh, total: total, at: now}
-	b.left += own
+	m := Mark{alone: b.pending == 0, own: own, fresh: fresh, total: total, at: now}
+	b.pending += own
 	b.added += own
 	b.cost.Count(own)
 	m.added = b.added
 	for _, p := range shared {
-		b.keep(p)
+		b.cachePart(p)
 	}
 	return m
 }
 
-// keep remembers a shared part; the caller holds the lock.
-func (b *Backlog) keep(p Part) {
+// cachePart records a shared part as cached; the caller holds the lock.
+func (b *Backlog) cachePart(p Part) {
 	if b.parts.Contains(p.ID) {
-		b.parts.Get(p.ID) // it was used
+		b.parts.Get(p.ID) // marks it as recently used
 		return
 	}
 	b.parts.Add(p.ID, p.Tokens)
-	b.kept += p.Tokens
-	for b.memory > 0 && b.kept > b.memory && b.parts.Len() > 1 {
+	b.cachedTokens += p.Tokens
+	for b.cacheCapacity > 0 && b.cachedTokens > b.cacheCapacity && b.parts.Len() > 1 {
 		b.parts.RemoveOldest()
 	}
 }
 
-// Begun takes in that the engine has read a prompt to its end: all that was
-// sent before is read as well.
+// Begun records that the engine has finished the prefill of a prompt, and thus of all prompts sent before
+// it. If the prompt was alone there, its time is a sample of the engine's pace and of the service's prefill
+// cost.
 func (b *Backlog) Begun(now time.Time, m Mark) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.drain(now)
-	b.left = min(b.left, max(0, b.added-m.added))
+	b.pending = min(b.pending, max(0, b.added-m.added))
 	took := now.Sub(m.at)
 	if !m.alone || took <= 0 || m.own <= 0 {
 		return
@@ -167,33 +166,33 @@
 	start := b.cost.Start()
 	b.cost.Learn(m.fresh, m.total, start+time.Duration(float64(took-start)/b.pace))
 	took -= start
-	if m.fresh < sampleLeast || took <= 0 {
+	if m.fresh < minSampleTokens || took <= 0 {
 		return
 	}
-	sample := math.Min(math.Max(b.pace*float64(took)/float64(m.own), paceLeast), paceMost)
+	sample := math.Min(math.Max(b.pace*float64(took)/float64(m.own), paceMin), paceMax)
 	b.pace += paceWeight * (sample - b.pace)
 }
 
-// Dropped takes in that a prompt will not be read after all.
+// Dropped removes a prompt that the engine will not process.
 func (b *Backlog) Dropped(now time.Time, m Mark) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.drain(now)
-	b.left = max(0, b.left-m.own)
+	b.pending = max(0, b.pending-m.own)
 }
 
-// Sent is a prompt that a daemon has sent to an engine, as it tells the others.
+// Sent announces to other daemons that a prompt was sent to an engine.
 type Sent struct {
-	Endpoint uint64 `codec:"e"` // the hash of the engine's name
-	Fresh    int    `codec:"f"` // tokens that the engine has to read
+	Endpoint uint64 `codec:"e"` // Endpoint.Hash of the engine
+	Fresh    int    `codec:"f"` // tokens not cached at the engine
 	Total    int    `codec:"t"` // tokens of the whole prompt
-	Out      int    `codec:"o"` // tokens expected of the answer
-	Parts    []Part `codec:"p"` // the shared ones
+	Out      int    `codec:"o"` // expected tokens of the answer
+	Parts    []Part `codec:"p"` // the shared parts
 }
 
-// Send counts a prompt that is sent to the engine, which has to read so many of its
-// tokens and is to answer with so many. It returns the prompt's place there and the word
-// for other daemons.
+// Send records a prompt sent to the engine, of which fresh tokens are not cached there and whose answer is
+// expected to have out tokens. It returns the prompt's position in the backlog and the announcement for
+// other daemons.
 func (t *Target) Send(now time.Time, fresh int, parts []Part, out int) (Mark, Sent) {
 	s := Sent{Endpoint: t.hash, Fresh: fresh, Parts: parts[:len(parts)-1], Out: out}
 	for _, p := range parts {
@@ -204,24 +203,24 @@
 	return m, s
 }
 
-// Begun takes in that the engine has begun to answer a prompt.
+// Begun records that the engine has begun to answer a prompt.
 func (t *Target) Begun(now time.Time, m Mark) { t.backlog.Begun(now, m) }
 
-// ReadingDone returns how long the engine has read prompts in all: what it reads while an answer is
-// under way holds that up.
+// ReadingDone returns the total prefill time that the engine has completed: prefill during an answer delays
+// that answer.
 func (t *Target) ReadingDone(now time.Time) time.Duration { return t.backlog.Done(now) }
 
-// Dropped takes in that a prompt will not be read after all.
+// Dropped records that the engine will not process a prompt.
 func (t *Target) Dropped(now time.Time, m Mark) { t.backlog.Dropped(now, m) }
 
-// HearSent takes in a prompt that another daemon has sent.
+// HearSent records a prompt that another daemon has sent.
 func (w *Works) HearSent(now time.Time, s Sent) {
 	for _, k := range w.All() {
 		if t := k.Pool.view().byHash[s.Endpoint]; t != nil {
 			m := t.backlog.Add(now, s.Fresh, s.Total, s.Parts)
 			t.places.Delay(t.holds.beside(m.own))
 			if w.opts.Without.On(mechanism.EnginePlaces) {
-				t.places.Take(now, now.Add(t.backlog.Left(now)), k.Pool.holds.of(s.Out), t.placesFor(w.opts.Without))
+				t.places.Occupy(now, now.Add(t.backlog.Left(now)), k.Pool.holds.of(s.Out), t.slotsForOthers(w.opts.Without))
 			}
 			return
 		}
@@ -229,43 +228,41 @@
 }
 
 const (
-	// rereadWeight is by how much reading a shared part again counts beyond its
-	// time: it is paid for, and takes the place of another part.
-	rereadWeight = 1.0
-	// heldShare is the share of the longest pause in time that reading a prompt
-	// may cause to the streams beside it.
-	heldShare = 0.8
-	// heldCost is what making one stream late counts, as time. At twice that, 0.85 of
-	// the long prompts in place of 0.82 were in time on 85 nearly full engines of a
-	// played load, and as many on 120; on 9 engines of 64 places a day of the highest
-	// load earned 0.02 less (three seeds).
-	heldCost = 0.15
-	// laneShare is the part of the engines to which prompts go that would hold
-	// the others up, and laneCost what keeps other prompts away from them.
-	laneShare = 0.2
-	laneCost  = 0.1
-	// laneLeast is from how many engines on some are set apart.
-	laneLeast = 4
-	// laneMemory is how long after the last such prompt they stay set apart.
-	laneMemory = 20 * time.Second
+	// recomputePartWeight is the extra weight of recomputing a shared part beyond its time: it costs money and
+	// evicts another part.
+	recomputePartWeight = 1.0
+	// maxPauseShare is the share of the longest tolerated pause that a prompt's prefill may cause in
+	// concurrent streams.
+	maxPauseShare = 0.8
+	// lateStreamCost is the cost of making one stream late, in seconds. Twice the value puts 0.85 instead of 0.82
+	// of the long prompts in time on 85 nearly full simulated engines, and changes nothing on 120, but loses
+	// 0.02 of the earnings of a day of peak load on 9 engines of 64 slots.
+	lateStreamCost = 0.15
+	// reservedShare is the share of the engines set apart for prompts whose prefill delays other streams;
+	// reservedCost is the penalty in seconds for other prompts there.
+	reservedShare = 0.2
+	reservedCost  = 0.1
+	// reservedMinEngines is the minimum number of engines at which some are set apart.
+	reservedMinEngines = 4
+	// reservedTTL is how long engines stay set apart after the last such prompt.
+	reservedTTL = 20 * time.Second
 )
 
-// homeHit is how likely the first endpoints in a prompt's order are to keep its
-// shared parts although nothing is known of it here: all daemons have the same
-// order, and prefer the first. Where each knows what all have sent, it only makes
-// the endpoints less evenly used (0.44 of the worth for 0.49 on a quiet day of nine
-// engines).
-var homeHit = [...]float64{0.7, 0.3}
+// preferredHit is the probability that the first endpoints in a prompt's rendezvous order cache its shared parts
+// although this daemon does not know it: all daemons share the order and prefer the first ones. If daemons
+// know what the others have sent, it only makes the load less even (0.44 instead of 0.49 of the worth on a
+// quiet day of nine engines).
+var preferredHit = [...]float64{0.7, 0.3}
 
-// tieBreak spreads prompts over endpoints that are as good, in seconds.
-const tieBreak = 0.004
+// tieBreakRange is the range, in seconds, of the random term that spreads prompts over equally good endpoints.
+const tieBreakRange = 0.004
 
-// homes are the first endpoints in the order of a prompt's shared head.
-type homes [len(homeHit)]*Target
+// preferredTargets are the first endpoints in the rendezvous order of a prompt's shared prefix.
+type preferredTargets [len(preferredHit)]*Target
 
-func homesOf(l *poolList, n Need) homes {
-	var h homes
-	var weights [len(homeHit)]uint64
+func preferredFor(l *poolList, n Need) preferredTargets {
+	var h preferredTargets
+	var weights [len(preferredHit)]uint64
 	if !n.Homes || n.Prefix == 0 {
 		return h
 	}
@@ -286,8 +283,8 @@
 	return h
 }
 
-// place returns an endpoint's place among the homes, or -1.
-func (h homes) place(t *Target) int {
+// place returns an endpoint's index in the homes, or -1.
+func (h preferredTargets) place(t *Target) int {
 	for i, x := range h {
 		if x == t {
 			return i
@@ -296,22 +293,22 @@
 	return -1
 }
 
-// choosePrompt takes the endpoint at which the prompt is read soonest, with a
-// preference for one that keeps its shared parts. A prompt whose reading would
-// hold up the streams that run beside it goes where few of them run.
+// choosePrompt chooses the endpoint with the earliest expected first event, with a preference for one that
+// caches the shared parts. A prompt whose prefill would delay concurrent streams is sent where few of them
+// run.
 func (p *Pool) choosePrompt(now time.Time, l *poolList, n Need) (Choice, bool) {
 	var c Choice
 	best := math.Inf(1)
-	home := homesOf(l, n)
-	lane := 0
-	if now.Sub(p.heldAt()) < laneMemory && len(l.all) >= laneLeast {
-		lane = max(1, int(laneShare*float64(len(l.all))))
+	preferred := preferredFor(l, n)
+	reserved := 0
+	if now.Sub(p.lastDelayingAt()) < reservedTTL && len(l.all) >= reservedMinEngines {
+		reserved = max(1, int(reservedShare*float64(len(l.all))))
 	}
 	for i, t := range l.all {
 		if !t.open(n) {
 			continue
 		}
-		r := t.backlog.Read(now, n.Parts)
+		r := t.backlog.Estimate(now, n.Parts)
 		place := t.slotWait(now, n)
 		first := max(r.Wait, place) + r.Own + r.Start
 		if !n.Without.On(mechanism.PlaceQueue) {
@@ -320,63 +317,63 @@
 		shared := r.Own.Seconds() * float64(r.Shared) / float64(max(r.Fresh, 1))
 		score := first.Seconds()
 		if n.Without.On(mechanism.RereadCost) {
-			score += rereadWeight * shared
+			score += recomputePartWeight * shared
 		}
-		if place := home.place(t); place >= 0 {
-			score -= homeHit[place] * (1 + rereadWeight) * shared
+		if place := preferred.place(t); place >= 0 {
+			score -= preferredHit[place] * (1 + recomputePartWeight) * shared
 		}
-		score += tieBreak * float64(mix(n.Draw, t.hash)%1024) / 1024
-		holds := n.Pause > 0 && n.Without.On(mechanism.SetApart) && float64(r.Held) > heldShare*float64(n.Pause)
+		score += tieBreakRange * float64(mix(n.Draw, t.hash)%1024) / 1024
+		holds := n.Pause > 0 && n.Without.On(mechanism.SetApart) && float64(r.MaxPause) > maxPauseShare*float64(n.Pause)
 		switch {
 		case holds:
-			score += heldCost * float64(t.running(now))
-		case l.order[i] < lane:
-			score += laneCost
+			score += lateStreamCost * float64(t.running(now))
+		case l.order[i] < reserved:
+			score += reservedCost
 		}
 		score /= math.Max(float64(math.Float32frombits(t.ramp.Load())), rampStart)
 		if t.Zone != p.Zone {
-			score += zoneSeconds
+			score += crossZoneSeconds
 		}
 		if score < best {
 			best = score
-			c = Choice{Target: t, Load: int(t.load.Load()), Reading: r, Place: place, First: first, Why: "read soonest"}
+			c = Choice{Target: t, Load: int(t.load.Load()), PrefillEstimate: r, Place: place, First: first, Why: "read soonest"}
 			if holds {
 				c.Why = "holds others up, few run beside"
 			}
 		}
 	}
 	if c.Target != nil && c.Why != "read soonest" {
-		p.holdsUp(now)
+		p.recordDelaying(now)
 	}
 	return c, c.Target != nil
 }
 
-// heldAt returns when a prompt was last seen that holds others up.
-func (p *Pool) heldAt() time.Time { return time.Unix(0, p.held.Load()) }
+// lastDelayingAt returns when a prompt that delays other streams was last routed.
+func (p *Pool) lastDelayingAt() time.Time { return time.Unix(0, p.lastDelaying.Load()) }
 
-func (p *Pool) holdsUp(now time.Time) { p.held.Store(now.UnixNano()) }
+func (p *Pool) recordDelaying(now time.Time) { p.lastDelaying.Store(now.UnixNano()) }
 
-// running estimates how many requests run at the endpoint.
+// running estimates the number of requests at the endpoint.
 func (t *Target) running(now time.Time) int {
-	return max(int(t.load.Load()), int(t.mine.Load())+t.places.Taken(now))
+	return max(int(t.load.Load()), int(t.mine.Load())+t.places.Occupied(now))
 }
 
-// placesFor returns how many places the engine has for the requests of other daemons.
-func (t *Target) placesFor(without mechanism.Set) int {
+// slotsForOthers returns how many of the engine's slots are left for requests of other daemons.
+func (t *Target) slotsForOthers(without mechanism.Set) int {
 	if !without.On(mechanism.PlaceQueue) {
-		return math.MaxInt // what waits is not told from what runs
+		return math.MaxInt // waiting requests are not modelled apart from running ones
 	}
 	return t.slots() - int(t.mine.Load())
 }
 
-// slots returns how many requests the endpoint runs together.
+// slots returns the concurrency of the endpoint.
 func (t *Target) slots() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.batch
 }
 
-// slotWait estimates how long a request waits for a place at the endpoint.
+// slotWait estimates how long a request waits for a slot at the endpoint.
 func (t *Target) slotWait(now time.Time, n Need) time.Duration {
 	batch := t.slots()
 	wait := t.places.Wait(now, batch-int(t.mine.Load()))
--- /dev/null
+++ b/request/endpointstate.go
@@ -0,0 +1,65 @@
+// SPDX-License-Identifier: MIT
+
+package request
+
+import (
+	"time"
+
+	"streambend.example/pace"
+)
+
+// Word is the advertised state of an endpoint instance, as exchanged between daemons.
+type Word struct {
+	Endpoint uint64     `codec:"e"` // Endpoint.Hash
+	Limit    pace.Limit `codec:"l,omitempty"`
+	Leaves   bool       `codec:"v,omitempty"`
+
+	Rest time.Duration `codec:"r,omitempty"` // remaining time for which it asked some daemon to back off
+}
+
+// With merges two states; the result has the Endpoint of x.
+func (w Word) With(x Word) Word {
+	w.Endpoint = x.Endpoint
+	if x.Limit.Over(w.Limit) {
+		w.Limit = x.Limit
+	}
+	w.Leaves = w.Leaves || x.Leaves
+	w.Rest = max(w.Rest, x.Rest)
+	return w
+}
+
+// Word returns the known advertised state of the endpoint.
+func (t *Target) Word(now time.Time) Word {
+	t.advertised.mu.Lock()
+	defer t.advertised.mu.Unlock()
+	rest := max(t.advertised.backoff.left(now), t.advertised.othersBackoff.left(now))
+	return Word{Endpoint: t.hash, Limit: t.advertised.limit, Leaves: t.advertised.leaves, Rest: rest}
+}
+
+// HearWord merges the state announced by another daemon. An endpoint that leaves ends after left.
+func (t *Target) HearWord(now time.Time, w Word, left time.Duration) {
+	t.HearLimit(w.Limit)
+	t.advertised.othersBackoff.extend(now.Add(w.Rest))
+	if w.Leaves {
+		t.RecordLeaving(now, left)
+	}
+}
+
+// RecordLeaving records that the endpoint itself advertises that it leaves, and reports whether that is new. It
+// overrides the registry entry of this instance.
+func (t *Target) RecordLeaving(now time.Time, left time.Duration) (fresh bool) {
+	t.advertised.mu.Lock()
+	fresh = !t.advertised.leaves
+	t.advertised.leaves = true
+	t.advertised.mu.Unlock()
+	t.Leave(now.Add(left))
+	return fresh
+}
+
+// RecordBackoff records that the endpoint asked this daemon to back off for d. It reports whether to announce it
+// to other daemons, which is not needed while a back-off is already known.
+func (t *Target) RecordBackoff(now time.Time, d time.Duration) (tell bool) {
+	tell = t.advertised.backoff.left(now) == 0 && t.advertised.othersBackoff.left(now) == 0
+	t.advertised.backoff.extend(now.Add(d))
+	return tell
+}
