--- a/request/attempt.go
+++ b/request/attempt.go
@@ -19,18 +19,19 @@
 	"streambend.example/mechanism"
 )
 
-// routeWait is how often a request without an endpoint looks again.
+// routeWait is the interval at which a request without an endpoint retries routing.
 const routeWait = 50 * time.Millisecond
 
-// takeUpWait is how long a request that was under way waits for an endpoint to go on at, beyond
-// RouteWait: an endpoint is kept out for a second after failures, callers bear a pause of two, and
-// refused at once 30 of 30 streams were cut off whose endpoint ended while the others were out.
+// takeUpWait is how long a request that has been started waits for an endpoint to continue at,
+// instead of RouteWait. An endpoint is ejected for one second after failures and callers tolerate a
+// pause of two; without this wait, 30 of 30 streams were lost whose endpoint ended while the others
+// were ejected.
 const takeUpWait = 1200 * time.Millisecond
 
-// cacheKey is the name that engines group a prefix's blocks by.
+// cacheKey returns the key by which engines group the KV cache blocks of a prefix.
 func cacheKey(prefix uint64) string { return strconv.FormatUint(prefix, 36) }
 
-// ParseCacheKey returns the prefix that a cache key names, or 0.
+// ParseCacheKey returns the prefix hash that a cache key encodes, or 0 if it is malformed.
 func ParseCacheKey(k string) uint64 {
 	p, err := strconv.ParseUint(k, 36, 64)
 	if err != nil {
@@ -39,16 +40,16 @@
 	return p
 }
 
-// relayService is how long a stream is taken to hold its place at an engine.
+// relayService is the time for which a stream is assumed to hold its slot at an engine.
 const relayService = 1500 * time.Millisecond
 
-// draw returns what chance decides by for the next attempt: the request's id and
-// how often it was sent.
+// draw returns the hash from which the next attempt's random choices derive: of the
+// request's id and the number of attempts so far.
 func (r *run) draw() uint64 {
 	return mix(xxhash.Sum64String(r.r.ID), uint64(r.attempts+1))
 }
 
-// need is what this request asks of routing.
+// need returns the routing requirements of this request.
 func (r *run) need(now time.Time) Need {
 	n := Need{At: now, Plain: !r.r.IsModel(), Avoid: r.avoid, Weigh: r.r.Service.Weigh, Policy: r.opts.Route, Settled: r.r.Unrepeatable, Draw: r.draw(), Without: r.opts.Without}
 	if n.Plain {
@@ -66,15 +67,15 @@
 	return n
 }
 
-// route chooses an endpoint, and waits for one while there is none.
+// route chooses an endpoint. While none is available it waits for one.
 func (r *run) route(ctx context.Context) (Choice, *code.Error) {
 	until := r.r.Arrived.Add(r.opts.RouteWait)
-	if r.life.Tainted { // else it can be refused at once as not run
+	if r.life.Tainted { // otherwise it can be refused at once as not run
 		until = r.Now().Add(takeUpWait)
 	}
 	for {
 		now := r.Now()
-		current, listed := r.opts.listed(now) // before the choice, so that it is not of a newer list
+		current, listed := r.opts.listed(now) // read before the choice, so that it does not belong to a newer list
 		c, ok := Choice{}, false
 		if listed {
 			c, ok = r.choose(now)
@@ -89,7 +90,7 @@
 		}
 		if ok {
 			r.giveBackTrial(c)
-			continue // the endpoint is passed over until its turn comes
+			continue // routing skips the endpoint until its rate limit allows the next request
 		}
 		pause := routeWait
 		if listed {
@@ -106,35 +107,34 @@
 		r.avoid = nil
 		select {
 		case <-ctx.Done():
-			return Choice{}, code.New(code.NoEndpoint, "the caller has gone")
+			return Choice{}, code.New(code.NoEndpoint, "the caller disconnected")
 		case <-time.After(max(pause, clock.LeastTimer)):
 		}
 	}
 }
 
-// noEndpoint returns the error for a request that finds no endpoint; listed is false if the list of them is
-// too old to choose by.
+// noEndpoint returns the error for a request that finds no endpoint; listed is false if the list of
+// endpoints is too old to choose from.
 func (r *run) noEndpoint(listed bool) *code.Error {
-	text := "no endpoint of %s takes work"
+	text := "no endpoint of %s accepts requests"
 	if !listed {
-		text = "the list of endpoints of %s is too old to choose by"
+		text = "the list of endpoints of %s is too old to choose from"
 	}
 	return code.New(code.NoEndpoint, text, r.work.Pool.Service).After(time.Second)
 }
 
-// leastAfter is the least time after which a caller that was refused for
-// overload may come back.
+// leastAfter is the minimum Retry-After of a request refused for overload.
 const leastAfter = 400 * time.Millisecond
 
-// overloaded refuses a request that has run nowhere if even the engine that
-// reads it soonest has more to read before it than the request can wait for.
-// Refused at once it can still be answered in time when it comes back.
+// overloaded returns an error for a request that has not run anywhere if even the
+// engine with the shortest prefill backlog would start it later than its wait limit.
+// Refused at once, it can still be answered in time when the caller retries.
 func (r *run) overloaded(c Choice) *code.Error {
 	x := r.r.Relay
 	if x == nil || x.WaitLimit == 0 || !r.opts.Without.On(mechanism.Admission) || r.attempts > 0 || !c.WaitsBeyond(x.WaitLimit) {
 		return nil
 	}
-	return code.New(code.Overloaded, "%s until it is begun, %s at the most", max(c.Wait, c.Place).Round(time.Millisecond), x.WaitLimit).
+	return code.New(code.Overloaded, "expected wait of %s exceeds the limit of %s", max(c.Wait, c.Place).Round(time.Millisecond), x.WaitLimit).
 		After(max(leastAfter, c.Wait))
 }
 
@@ -151,13 +151,13 @@
 	}
 	c, ok := r.work.Pool.Route(now, n)
 	if n.Rested = true; ok && r.overloaded(c) != nil {
-		// What has asked only others for rest may have room for it.
+		// An endpoint that asked for a rest may have capacity for it.
 		return r.work.Pool.Route(now, n)
 	}
 	return c, ok
 }
 
-// attempt sends the request to one endpoint and takes its answer in.
+// attempt sends the request to one endpoint and receives its answer.
 func (r *run) attempt(ctx context.Context, c Choice) (Ending, error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -169,7 +169,7 @@
 	defer c.Target.End(f)
 	now := r.opts.look()
 	if !c.Until.IsZero() && !now.Before(c.Until) {
-		return EndedUnsent, errOldList // the box has slept since the choice
+		return EndedUnsent, errOldList // the box was suspended after the choice
 	}
 	if r.barred(now, c.Target) {
 		return EndedUnsent, errBarred
@@ -178,9 +178,9 @@
 		return EndedUnsent, errNewStart
 	}
 	if _, leaving := c.Target.Leaving(); leaving {
-		// The notice came between the choice and the entry: it has not seen
-		// this flight, and no new work goes to a leaving endpoint.
-		return EndedUnsent, errors.New("request: endpoint began to leave")
+		// The notice arrived between the choice and Begin, so it did not cover
+		// this attempt, and a leaving endpoint gets no new requests.
+		return EndedUnsent, errors.New("request: endpoint is leaving")
 	}
 	r.life.on(eventSend)
 	r.started, r.expected, r.first, r.events, r.ownFailure = r.Now(), c.First, 0, 0, false
@@ -204,7 +204,7 @@
 	return ending, err
 }
 
-// endingOf tells how a call that returned err ended.
+// endingOf returns the outcome of a call that returned err.
 func (r *run) endingOf(err error) Ending {
 	var f *conn.Failure
 	if !errors.As(err, &f) {
@@ -221,18 +221,18 @@
 	return EndedBroken
 }
 
-var errSilent = errors.New("request: the endpoint is silent")
+var errSilent = errors.New("request: endpoint sent no data in time")
 
-// watch ends an attempt whose endpoint is silent. An endpoint that says itself
-// that it is full is given more time: its queue is long, and to send the
-// request elsewhere as well would make that worse. An unrepeatable request has
-// nowhere else to go and waits until its deadline.
+// watch returns a timer that cancels an attempt whose endpoint sends no data. An
+// endpoint that reports itself as full gets more time: its queue is long, and a
+// retry elsewhere would add load. An unrepeatable request cannot be retried and
+// waits until its deadline.
 func (r *run) watch(t *Target, cancel context.CancelCauseFunc) *time.Timer {
 	if r.r.Unrepeatable {
 		return time.AfterFunc(max(r.r.Deadline.Sub(r.Now()), clock.LeastTimer), func() { cancel(errSilent) })
 	}
 	var dog *time.Timer
-	var mu sync.Mutex // dog is set before it can fire and be read
+	var mu sync.Mutex // dog is assigned before its callback reads it
 	mu.Lock()
 	defer mu.Unlock()
 	dog = time.AfterFunc(r.opts.FirstWait, func() {
@@ -272,7 +272,7 @@
 	return r.read(c, st, dog, prefix, len(emitted))
 }
 
-// read takes an engine's chunks in until the answer is whole or broken.
+// read receives an engine's chunks until the answer is complete or broken.
 func (r *run) read(c Choice, st *conn.Stream, dog *time.Timer, prefix uint64, had int) (Ending, error) {
 	first := true
 	for {
@@ -305,7 +305,8 @@
 	}
 }
 
-// firstToken takes in how long the endpoint took to begin.
+// firstToken records the time to the first token, less the expected prefill time, as
+// a sample for the adaptive concurrency limit.
 func (r *run) firstToken(now time.Time, c Choice, had int) {
 	r.life.on(eventStream)
 	if r.opts.NoLimit {
@@ -320,7 +321,7 @@
 	r.work.Queue.Limit.Sample(now, max(took, 0), running)
 }
 
-// attemptPlain calls a plain service and takes the whole answer.
+// attemptPlain calls a plain service and reads the complete answer.
 func (r *run) attemptPlain(ctx context.Context, c Choice) (Ending, error) {
 	attempt := r.newAttempt()
 	ctx, cancel := context.WithCancelCause(ctx)
--- a/request/doc.go
+++ b/request/doc.go
@@ -1,16 +1,17 @@
 // SPDX-License-Identifier: MIT
 
-// Package request holds what lives as long as a caller's request: admission,
-// the choice of an endpoint, the attempts, the claim of an unrepeatable
-// request and the answer as it grows.
+// Package request runs callers' requests: admission, the choice of an endpoint,
+// the attempts, the claim of an unrepeatable request and the answer as it is
+// streamed.
 //
-// A Life moves through the states received, queued, accepted, claimed, sent,
-// streaming and moving, and ends complete, late, refused or unknown. Server
-// runs a Life:
+// A Life is the state machine of one request. It passes through the states
+// received, queued, accepted, claimed, sent, streaming and moving, and ends
+// complete, late, refused or unknown. Server runs a Life:
 //
-//	ans, err := server.Begin(now, req) // err: refused, not run
-//	view := ans.Next(0)                // grows until view.Done
+//	ans, err := server.Begin(ctx, now, req) // err: refused, not run
+//	changed, stop := ans.Follow()           // receives whenever ans has grown
+//	events, done, err := ans.Events(0, nil) // all events so far
 //
-// What decides (Pool.Route, Queue.Enter, Triage, Classify) is given the
-// present time and does no input or output.
+// The decisions (Pool.Route, Queue.Enter, Triage, Classify) take the current
+// time as an argument and do no I/O.
 package request
--- a/request/life.go
+++ b/request/life.go
@@ -32,17 +32,18 @@
 	eventAccept   = "accept"
 	eventClaim    = "claim"
 	eventSend     = "send"
-	eventUnsend   = "unsend" // the endpoint was not reached or did not start
+	eventUnsend   = "unsend" // the endpoint was not reached or did not start the request
 	eventStream   = "stream"
 	eventMove     = "move"
 	eventComplete = "complete"
 	eventLate     = "late"
-	eventRefuse   = "refuse" // as not run
+	eventRefuse   = "refuse" // refused as not run
 	eventLose     = "lose"   // the outcome is unknown
 )
 
-// lifeEvents hold the rule that matters most: a refusal as "not run" is
-// possible only while nothing has been sent, or after it was taken back.
+// lifeEvents are the transitions of a Life. A refusal as "not run" is possible
+// only while nothing has been sent, or after an attempt that did not start was
+// undone by eventUnsend.
 var lifeEvents = fsm.Events{
 	{Name: eventQueue, Src: []string{StateReceived}, Dst: StateQueued},
 	{Name: eventAccept, Src: []string{StateReceived, StateQueued}, Dst: StateAccepted},
@@ -57,10 +58,10 @@
 	{Name: eventLose, Src: []string{StateAccepted, StateSent, StateStreaming, StateMoving}, Dst: StateUnknown},
 }
 
-// Life is the state of one request.
+// Life is the state machine of one request.
 type Life struct {
 	fsm     *fsm.FSM
-	Tainted bool // an endpoint may have begun the request
+	Tainted bool // an endpoint may have started the request
 }
 
 // NewLife returns a Life in the state received.
@@ -68,74 +69,75 @@
 	return &Life{fsm: fsm.NewFSM(StateReceived, lifeEvents, nil)}
 }
 
-// State returns the present state.
+// State returns the current state.
 func (l *Life) State() string { return l.fsm.Current() }
 
-// go moves on by an event; an event that the state does not allow is a fault
-// of this package and ends the request as unknown rather than wrongly.
+// on applies an event and reports whether the current state allows it. An event
+// that is not allowed is a bug of this package; the request then ends as unknown
+// instead of with a wrong result.
 func (l *Life) on(event string) bool { return l.fsm.Event(context.Background(), event) == nil }
 
-// Ending is how an attempt ended.
+// Ending is the outcome of an attempt.
 type Ending int
 
-// The endings of an attempt.
+// The outcomes of an attempt.
 const (
-	EndedWhole   Ending = iota // with a whole answer
-	EndedMoved                 // cut by us, to go on elsewhere
+	EndedWhole   Ending = iota // the answer is complete
+	EndedMoved                 // cancelled by this daemon, to continue at another endpoint
 	EndedUnsent                // no byte can have reached the endpoint
-	EndedRefused               // the endpoint said that it did not start
-	EndedBroken                // cut, stalled, short or garbled
+	EndedRefused               // the endpoint reported that it did not start the request
+	EndedBroken                // cut off, stalled, truncated or malformed
 	EndedError                 // the endpoint answered with an error
-	EndedGone                  // the caller has gone
+	EndedGone                  // the caller disconnected
 )
 
-// String returns the ending's name.
+// String returns the name of the outcome.
 func (e Ending) String() string {
 	return [...]string{"whole", "moved", "unsent", "refused", "broken", "error", "gone"}[e]
 }
 
-// Action is what to do after an attempt.
+// Action is the next step after an attempt.
 type Action int
 
 // The actions after an attempt.
 const (
-	Finish Action = iota // the answer is whole
-	Again                // send to another endpoint, from where it stopped
-	Refuse               // as not run
+	Finish Action = iota // the answer is complete
+	Again                // retry at another endpoint, from where the answer stopped
+	Refuse               // report as not run
 	GiveUp               // the outcome is unknown
 )
 
 // String returns the action's name.
 func (a Action) String() string { return [...]string{"finish", "again", "refuse", "give up"}[a] }
 
-// Verdict is what to do after an attempt, and the code of a final answer.
+// Verdict is the decision after an attempt, and the code of a final answer.
 type Verdict struct {
 	Action Action
 	Code   code.Code
-	Spend  bool // takes one from the retry budget
-	Pause  bool // the budget is empty: wait long before the next attempt
+	Spend  bool // the retry is charged to the retry budget
+	Pause  bool // the retry budget is empty: use the long backoff
 }
 
-// Aftermath is what Classify rests on.
+// Aftermath is the input of Classify.
 type Aftermath struct {
 	Ending       Ending
 	Unrepeatable bool
-	Tainted      bool // an attempt, this one or an earlier, may have begun
-	Budget       bool // the retry budget allows one more
+	Tainted      bool // an endpoint may have started this or an earlier attempt
+	Budget       bool // the retry budget allows one more retry
 	GiveUpAt     time.Time
-	Strict       bool // nothing is sent again beyond the retry budget
-	Spent        bool // the request was sent as often as its route allows
+	Strict       bool // no retry beyond the retry budget
+	Spent        bool // the route's limit of attempts is reached
 }
 
-// Classify decides what follows an attempt. It is the one place where a
-// second run is allowed or not.
+// Classify decides the next step after an attempt. No other code decides whether
+// a request may run a second time.
 func Classify(now time.Time, a Aftermath) Verdict {
 	late := !now.Before(a.GiveUpAt)
 	switch a.Ending {
 	case EndedWhole:
 		return Verdict{Action: Finish, Code: code.OK}
 	case EndedUnsent, EndedRefused:
-		free := a.Strict && a.Ending == EndedUnsent // nothing arrived anywhere
+		free := a.Strict && a.Ending == EndedUnsent // nothing reached an endpoint
 		if (a.Budget || free) && !late && !a.Spent {
 			return Verdict{Action: Again, Spend: !free}
 		}
@@ -147,8 +149,9 @@
 			return Verdict{Action: Again}
 		}
 	case EndedBroken:
-		// An accepted request is not given up for want of budget; it only
-		// waits, so that a wave of failures does not multiply the load.
+		// Unless the budget is strict, an accepted request is not given up when the
+		// retry budget is empty. It only backs off for longer, so that many failures
+		// at once do not multiply the load.
 		held := a.Strict && !a.Budget
 		if !a.Unrepeatable && !late && !a.Spent && !held {
 			return Verdict{Action: Again, Spend: true, Pause: !a.Budget}
--- a/request/server.go
+++ b/request/server.go
@@ -17,29 +17,29 @@
 	"streambend.example/crash"
 )
 
-// HolderState is what a daemon says of a request that it may have claimed.
+// HolderState is a daemon's answer about a request that it may have claimed.
 type HolderState int
 
-// The answers of a holder.
+// The answers of a claim holder.
 const (
-	HolderUnknown HolderState = iota // it cannot be reached, or knows nothing
+	HolderUnknown HolderState = iota // it cannot be reached, or has no record
 	HolderRunning
-	HolderReleased // it gave the claim up and sent nothing
-	HolderRan      // it has sent the request, and it is over
+	HolderReleased // it released the claim without sending the request
+	HolderRan      // it sent the request, which has ended
 )
 
-// Peers asks other daemons.
+// Peers queries other daemons.
 type Peers interface {
-	// AskClaim asks the holder of a claim what became of it.
+	// AskClaim asks the holder of a claim for its state.
 	AskClaim(ctx context.Context, holder, name string) HolderState
-	// AnyoneRan asks the daemons whether one of them has sent the request of
-	// a claim, for when the table cannot tell.
+	// AnyoneRan reports whether any daemon has sent the request of a claim. It is
+	// used while the table is unavailable.
 	AnyoneRan(ctx context.Context, name string) bool
-	// RecentStop reports whether a daemon has stopped as planned lately, so
-	// that an answer may have been handed over.
+	// RecentStop reports whether a daemon recently shut down as planned, so that
+	// an answer may have been handed over.
 	RecentStop(now time.Time) bool
-	// TakeOver asks for the state of a keyed answer that a daemon handed
-	// over; false if no daemon has it.
+	// TakeOver returns the state of a keyed answer that a daemon handed over;
+	// false if no daemon has it.
 	TakeOver(ctx context.Context, name string) (Snapshot, bool)
 }
 
@@ -62,7 +62,7 @@
 	kill   context.CancelFunc
 }
 
-// Counters count what became of requests.
+// Counters count requests by outcome, and their moves and retries.
 type Counters struct {
 	Accepted atomic.Int64
 	Complete atomic.Int64
@@ -75,7 +75,7 @@
 	CutOff   atomic.Int64 // attempts whose endpoint closed the connection
 }
 
-// NewServer returns a server whose requests end at the latest with Kill.
+// NewServer returns a server. Kill cancels all its requests.
 func NewServer(o Options, client *conn.Client, claims *Claims, peers Peers, log *logrus.Logger) *Server {
 	s := &Server{Works: newWorks(o), Client: client, Claims: claims, Peers: peers, opts: o, log: log.WithField("part", "request")}
 	s.alive, s.kill = context.WithCancel(context.Background())
@@ -86,13 +86,13 @@
 	return s
 }
 
-// Kill ends all requests at once.
+// Kill cancels all requests.
 func (s *Server) Kill() { s.kill() }
 
-// Now returns the present time, by which ages and deadlines are judged.
+// Now returns the current time, against which ages and deadlines are checked.
 func (s *Server) Now() time.Time { return s.opts.now() }
 
-// Wait returns once no request is under way, or when ctx ends.
+// Wait blocks until no request is running or ctx ends.
 func (s *Server) Wait(ctx context.Context) error {
 	done := make(chan struct{})
 	go func() {
@@ -107,9 +107,9 @@
 	}
 }
 
-// Begin starts a request, or joins the one under way with the same key, and
-// returns its answer. The request ends with ctx, unless it has a key: then it
-// goes on for a while so that its caller can come back.
+// Begin starts a request, or joins the running one with the same idempotency key,
+// and returns its answer. A request without a key ends with ctx; one with a key
+// continues for a while so that its caller can reconnect.
 func (s *Server) Begin(ctx context.Context, now time.Time, r *Request) (*Answer, error) {
 	if r.Key == "" {
 		a := NewAnswer(r.ID, r.Model.Max, Snapshot{})
@@ -123,7 +123,7 @@
 	}
 	if !r.Unrepeatable && (r.After > 0 || s.Peers.RecentStop(now)) {
 		if snap, ok := s.Peers.TakeOver(ctx, name); ok {
-			s.log.Infof("resume: %s goes on after %d tokens handed over", r.ID, len(snap.Tokens))
+			s.log.Infof("resume: %s continues after %d tokens handed over", r.ID, len(snap.Tokens))
 			a.mu.Lock()
 			a.snap = snap
 			a.snap.Done = false
@@ -134,8 +134,8 @@
 	return a, nil
 }
 
-// Relay runs a request whose answer is passed on as it comes, and returns once
-// it has ended; the error tells why it is not whole.
+// Relay runs a request whose answer is forwarded as it arrives, and returns once
+// it has ended; the error says why the answer is incomplete.
 func (s *Server) Relay(ctx context.Context, r *Request) *code.Error {
 	s.wg.Add(1)
 	defer s.wg.Done()
@@ -170,8 +170,8 @@
 	}()
 }
 
-// watchReaders ends a keyed answer that nobody has followed for a while. An
-// unrepeatable one goes on, since its answer must be stored.
+// watchReaders cancels a keyed request whose answer has had no reader for
+// Options.Detached. An unrepeatable one continues, since its answer must be stored.
 func (s *Server) watchReaders(ctx context.Context, cancel context.CancelFunc, r *Request, a *Answer) {
 	if r.Unrepeatable {
 		return
@@ -196,7 +196,7 @@
 	}
 }
 
-// run is one request under way.
+// run is the state of one running request.
 type run struct {
 	*Server
 	r    *Request
@@ -205,21 +205,21 @@
 	work *Work
 
 	print crash.Print
-	trial bool // it is held back, and is tried once more
-	well  bool // the last attempt brought a whole good answer
+	trial bool // the request is held back, and this is its trial
+	well  bool // the last attempt returned a complete and successful answer
 
-	ownFailure bool // it brought a failure that is the endpoint's own
+	ownFailure bool // the last attempt returned a failure signed by the endpoint
 	claim      Claim
 	claimed    bool
 	ticket     Ticket
-	started    time.Time     // of the last attempt that was sent
-	expected   time.Duration // from then to its first event; 0 if not known
-	first      time.Duration // the same as measured; 0 before it
-	events     int           // of that attempt's stream
-	drawn      bool          // whether it goes to a version on trial is decided
-	prepaid    atomic.Bool   // the next retry is taken from the budget already
+	started    time.Time     // when the last attempt was sent
+	expected   time.Duration // time to its first event, as predicted; 0 if not known
+	first      time.Duration // time to its first event, as measured; 0 before it
+	events     int           // events of its stream so far
+	drawn      bool          // it is decided whether the request goes to a version on trial
+	prepaid    atomic.Bool   // the next retry has already been charged to the budget
 	attempts   int
-	runs       int // attempts that may have run
+	runs       int // attempts that an endpoint may have started
 	avoid      *Target
 	prefer     *Target
 	restart    bool
@@ -229,7 +229,7 @@
 	return &run{Server: s, r: r, a: a, life: NewLife(), work: s.Works.Get(&r.Service), print: r.Print()}
 }
 
-// serve takes a request through its life.
+// serve runs a request from admission to its end.
 func (r *run) serve(ctx context.Context) {
 	if err := r.admit(ctx); err != nil {
 		r.refuse(err)
@@ -243,13 +243,13 @@
 		return
 	}
 	if r.a.full() {
-		r.complete(r.Now()) // all of it was handed over
+		r.complete(r.Now()) // the handed-over answer is already complete
 		return
 	}
 	for {
 		choice, err := r.route(ctx)
 		if err == nil {
-			// Other attempts and other daemons have learned meanwhile.
+			// The request may have been held back meanwhile, by another attempt or daemon.
 			err = r.heldBack(ctx)
 		}
 		if err != nil {
@@ -263,7 +263,7 @@
 	}
 }
 
-// admit waits for a place among the service's requests.
+// admit waits until the service's queue admits the request.
 func (r *run) admit(ctx context.Context) *code.Error {
 	now := r.Now()
 	r.life.on(eventQueue)
@@ -293,11 +293,11 @@
 	if err := r.ticket.Err(); err != nil {
 		return err
 	}
-	return code.New(code.DeadlineTooNear, "waited until too late").After(r.ticket.Expect)
+	return code.New(code.DeadlineTooNear, "queued until the deadline was too near").After(r.ticket.Expect)
 }
 
-// takeClaim claims an unrepeatable request that has a key. It reports whether
-// the request ends here.
+// takeClaim claims an unrepeatable request that has a key, and reports whether
+// the request has ended with that.
 func (r *run) takeClaim(ctx context.Context) bool {
 	if !r.r.Unrepeatable || r.r.Key == "" {
 		return false
@@ -311,41 +311,42 @@
 		} else if !r.Claims.Released(name) {
 			state = HolderUnknown
 		}
-		r.log.Infof("claim: %s held by %s, which says %d", r.r.ID, c.Row.Holder, state)
+		r.log.Infof("claim: %s is held by %s in state %d", r.r.ID, c.Row.Holder, state)
 		switch state {
 		case HolderReleased:
 			c = r.Claims.Over(ctx, r.Now(), c)
 		case HolderRunning:
-			r.refuse(code.New(code.StillRunning, "held by another daemon").After(time.Second))
+			r.refuse(code.New(code.StillRunning, "another daemon is running it").After(time.Second))
 			return true
 		default:
-			r.end(ctx, code.New(code.UnknownOutcome, "the daemon that held it cannot say"))
+			r.end(ctx, code.New(code.UnknownOutcome, "the daemon that claimed it cannot tell whether it ran"))
 			return true
 		}
 	}
 	return r.judgeClaim(ctx, c, body)
 }
 
+// judgeClaim acts on the outcome of a claim and reports whether the request has ended.
 func (r *run) judgeClaim(ctx context.Context, c Claim, body uint64) bool {
 	switch {
 	case c.State == ClaimDown && (r.Claims.remembered(c.key.Sort) || r.Peers.AnyoneRan(ctx, c.key.Sort)):
-		r.end(ctx, code.New(code.UnknownOutcome, "it was sent before, and the table does not answer").After(2*time.Second))
+		r.end(ctx, code.New(code.UnknownOutcome, "it was sent before, and the table is unavailable").After(2*time.Second))
 	case c.State == ClaimDown:
-		r.refuse(code.New(code.ClaimStore, "the table does not answer").After(2 * time.Second))
+		r.refuse(code.New(code.ClaimStore, "the table is unavailable").After(2 * time.Second))
 	case c.State == ClaimTaken:
 		r.claim, r.claimed = c, true
 		r.life.on(eventClaim)
 		return false
 	case c.Row.Body != body:
-		r.refuse(code.New(code.KeyReused, "another body was sent with this key"))
+		r.refuse(code.New(code.KeyReused, "the key was used before with another body"))
 	case c.State == ClaimAnswered && c.Row.Answer != nil:
 		r.a.load(*c.Row.Answer)
 		r.Count.Complete.Add(1)
 		r.log.Infof("claim: %s answered from the stored answer", r.r.ID)
 	case c.State == ClaimAnswered:
-		r.end(ctx, code.New(code.UnknownOutcome, "it has run; its answer was too large to keep"))
+		r.end(ctx, code.New(code.UnknownOutcome, "it has run; its answer was too large to store"))
 	default:
-		r.end(ctx, code.New(code.UnknownOutcome, "another call took the claim meanwhile"))
+		r.end(ctx, code.New(code.UnknownOutcome, "a concurrent call has claimed it"))
 	}
 	return true
 }
@@ -357,7 +358,7 @@
 		r.unsent()
 		r.Count.Refused.Add(1)
 	} else {
-		// Something has been sent: "not run" would be a lie.
+		// Something has been sent, so "not run" would be wrong.
 		err = code.New(code.UnknownOutcome, "%s", err.Message)
 		r.life.on(eventLose)
 		r.Count.Unknown.Add(1)
@@ -369,7 +370,7 @@
 	}
 }
 
-// end ends the request with an error: as not run where that is certain.
+// end ends the request with an error; as not run only if that is certain.
 func (r *run) end(ctx context.Context, err *code.Error) {
 	if err.Code.Ran() == code.NotRun && !r.life.Tainted {
 		r.refuse(err)
@@ -379,7 +380,7 @@
 		err = code.New(code.NotWhole, "%s", err.Message)
 	}
 	if r.alive.Err() != nil {
-		err = code.New(code.HandedOver, "the daemon stops; send the request again").After(time.Second)
+		err = code.New(code.HandedOver, "the daemon is shutting down; send the request again").After(time.Second)
 	}
 	if r.r.Unrepeatable && err.Code != code.EndpointAnswer {
 		err = code.New(code.UnknownOutcome, "%s", err.Message)
@@ -390,10 +391,10 @@
 	r.a.settle(err)
 }
 
-// giveUpAt is when a request is ended although it runs.
+// giveUpAt returns the time at which a request is ended even if it is still running.
 func (r *run) giveUpAt() time.Time { return r.r.Deadline.Add(r.opts.Grace) }
 
-// newAttempt returns the request id of the next attempt.
+// newAttempt counts an attempt and returns its request id.
 func (r *run) newAttempt() string {
 	r.attempts++
 	return r.r.ID + "." + uuid.NewString()[:8]
--- a/request/settle.go
+++ b/request/settle.go
@@ -17,14 +17,14 @@
 
 const (
 	retryStep  = 10 * time.Millisecond
-	pauseLeast = 250 * time.Millisecond // between attempts once the budget is empty
+	pauseLeast = 250 * time.Millisecond // base of the backoff once the retry budget is empty
 )
 
-// storeTries is how often an answer is offered to the table, with a growing
-// pause between.
+// storeTries is the number of attempts to store an answer in the table, with
+// exponential backoff between them.
 const storeTries = 8
 
-// settle follows an attempt's ending up and reports whether the request ends.
+// settle processes the outcome of an attempt and reports whether the request has ended.
 func (r *run) settle(ctx context.Context, t *Target, e Ending, failure error) bool {
 	now := r.Now()
 	if ctx.Err() != nil && e != EndedWhole {
@@ -69,11 +69,12 @@
 	return true
 }
 
-// moreSends is how many endpoints beyond its attempts a request is offered to
-// that has run at none of them.
+// moreSends is the number of sends beyond Relay.Attempts allowed to a request
+// that no endpoint has started.
 const moreSends = 2
 
-// spent reports whether a request has been sent as often as its route allows.
+// spent counts an attempt that may have run, and reports whether the route's limit of
+// attempts is reached.
 func (r *run) spent(e Ending) bool {
 	x := r.r.Relay
 	if x == nil {
@@ -86,15 +87,15 @@
 	return r.runs >= x.Attempts
 }
 
-// note lets the pool and the limit learn from an ending.
+// note reports the outcome of an attempt to the target and to the concurrency limit.
 func (r *run) note(now time.Time, t *Target, e Ending) {
 	switch e {
 	case EndedWhole:
-		// Not at the first token: an endpoint that begins every answer and
-		// ends none would never be ejected.
+		// Recorded at the end of the answer, not at its first token: an endpoint that
+		// starts every answer and completes none would never be ejected.
 		t.Succeed()
 		if pace, ok := r.pace(now); ok && r.opts.Without.On(mechanism.SlowEjection) && t.Paced(now, pace, r.work.Speed.Pace(!r.r.IsModel())) {
-			r.logEject(t, fmt.Sprintf("slow, %s where %s is usual", pace, r.work.Speed.Pace(!r.r.IsModel())))
+			r.logEject(t, fmt.Sprintf("slow: pace %s, usual pace %s", pace, r.work.Speed.Pace(!r.r.IsModel())))
 		}
 	case EndedUnsent, EndedBroken:
 		if _, leaving := t.Leaving(); !leaving && t.Fail(now, e == EndedUnsent) {
@@ -102,15 +103,16 @@
 		}
 	case EndedRefused:
 		if r.r.Relay != nil {
-			return // it is full, which is no fault
+			return // the endpoint is full, which is not a failure
 		}
 		t.Fail(now, false)
 		r.work.Queue.Limit.Overload(now)
 	}
 }
 
-// pace returns how long the endpoint took for a token, or for a plain call;
-// false for an answer that came from several endpoints or is too short.
+// pace returns the endpoint's time per token, or the duration of a plain call;
+// false for a relayed stream, and for an answer that came from several endpoints or
+// is too short.
 func (r *run) pace(now time.Time) (time.Duration, bool) {
 	if r.r.Relay != nil && r.r.Relay.Streaming {
 		return 0, false
@@ -125,7 +127,7 @@
 	return now.Sub(r.a.firstAt()) / time.Duration(n-1), true
 }
 
-// again prepares the next attempt.
+// again prepares the next attempt: it charges the retry budget and waits for the backoff.
 func (r *run) again(ctx context.Context, e Ending, v Verdict, t *Target) {
 	switch e {
 	case EndedUnsent, EndedRefused:
@@ -152,6 +154,7 @@
 	}
 }
 
+// giveUp ends the request after a failure that is not retried.
 func (r *run) giveUp(ctx context.Context, c code.Code, failure error) {
 	var f *conn.Failure
 	if c == code.EndpointAnswer && errors.As(failure, &f) {
@@ -161,7 +164,7 @@
 	r.end(ctx, code.New(c, "%v", failure))
 }
 
-// complete ends the request with its whole answer.
+// complete ends the request with a complete answer.
 func (r *run) complete(now time.Time) {
 	r.work.Budget.Earn()
 	if r.well {
@@ -191,8 +194,8 @@
 	}
 }
 
-// store keeps the answer with its claim. The caller has it already; until it
-// is stored, repeats of the call are told that it still runs.
+// store stores the answer with its claim. The caller has the answer already; until
+// it is stored, repeats of the call are answered as still running.
 func (r *run) store() {
 	snap := r.a.Snapshot()
 	for try := range storeTries {
@@ -202,7 +205,7 @@
 		if err == nil || r.alive.Err() != nil {
 			return
 		}
-		r.log.Warnf("claim: %s not stored yet: %v", r.r.ID, err)
+		r.log.Warnf("claim: storing the answer of %s failed: %v", r.r.ID, err)
 		select {
 		case <-r.alive.Done():
 			return
--- a/request/wake.go
+++ b/request/wake.go
@@ -8,14 +8,14 @@
 	"time"
 )
 
-// sleepers are the requests under way, for the moment at which a box wakes: timers of theirs that
-// would have fired in its sleep have stood still as well.
+// sleepers holds the cancel functions of the running requests, for when a box resumes from suspension.
+// The requests' timers do not advance while it is suspended.
 type sleepers struct {
 	mu  sync.Mutex
 	end map[*run]context.CancelFunc
 }
 
-// add takes a request in, and returns what takes it out.
+// add registers a request and returns a function that removes it.
 func (s *sleepers) add(r *run, end context.CancelFunc) (remove func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -30,7 +30,7 @@
 	}
 }
 
-// Woke ends the requests whose time has passed while the box slept, and returns how many.
+// Woke cancels the requests whose time expired while the box was suspended, and returns their number.
 func (s *Server) Woke(now time.Time) (ended int) {
 	s.asleep.mu.Lock()
 	defer s.asleep.mu.Unlock()
