--- a/request/relay.go
+++ b/request/relay.go
@@ -20,72 +20,72 @@
 
 // Codec translates between a Relay and the protocol of its endpoints.
 type Codec interface {
-	// Head returns the headers of an attempt.
+	// Head returns the request headers of an attempt.
 	Head(a Attempt) http.Header
-	// Read tells what the head of an answer says.
+	// Read decodes the status and headers of an answer.
 	Read(status int, h http.Header) AnswerHead
-	// Copy copies an answer's headers for the caller.
+	// Copy copies the headers of an answer that are forwarded to the caller.
 	Copy(to, from http.Header)
 }
 
-// Attempt is what an endpoint is told of an attempt.
+// Attempt describes an attempt to its endpoint.
 type Attempt struct {
-	Endpoint string        // the only one that may run it
-	Left     time.Duration // of the request's deadline
-	Resume   bool          // take the stream up after event After
+	Endpoint string        // id of the only endpoint that may run the request
+	Left     time.Duration // time left until the request's deadline
+	Resume   bool          // resume the stream after event After
 	After    int64
 }
 
-// AnswerHead is what the head of an endpoint's answer says.
+// AnswerHead is the decoded head of an endpoint's answer.
 type AnswerHead struct {
-	ID      string // of the request that it answers
+	ID      string // id of the request that it answers
 	NotRun  bool   // the endpoint did not run it and never will
-	Signed  bool   // it is the endpoint's own answer
-	Load    int    // requests that run or wait there
-	Slots   int    // requests that it runs together
+	Signed  bool   // the answer carries the endpoint's valid signature
+	Load    int    // running and waiting requests at the endpoint
+	Slots   int    // requests that the endpoint runs concurrently
 	HasLoad bool
 
-	Own  bool // it is the word of the endpoint that was meant
+	Own  bool // it comes from the endpoint that the request was sent to
 	Said pace.Said
 }
 
-// Relay is a request whose answer is passed on as it comes, without looking at
-// what it holds.
+// Relay is a request whose answer is forwarded as it arrives, without parsing its
+// content.
 type Relay struct {
 	Codec        Codec
 	Out          http.ResponseWriter
-	Host         string // as the caller sent it
+	Host         string // Host header as the caller sent it
 	Streaming    bool   // the answer is a stream of events
-	Attempts     int    // endpoints that it may run at
-	Prefix       uint64 // names the shared head of the prompt; 0 for none
+	Attempts     int    // maximum number of attempts that may run
+	Prefix       uint64 // hash of the shared prefix of the prompt; 0 for none
 	PromptTokens int
-	OutTokens    int                                 // expected of the answer
-	Guess        int                                 // the caller's own guess of them; 0 for none
-	Pause        time.Duration                       // the longest in a stream that is in time; 0 if not known
-	Parts        []Part                              // of the prompt, in order
-	WaitLimit    time.Duration                       // how long it may wait until an engine begins to read it; 0 for no limit
-	Begun        func(now time.Time)                 // an endpoint has begun to work on it; may be nil
-	Measured     func(first, expected time.Duration) // from an attempt's sending to its first event; may be nil
+	OutTokens    int                                 // expected tokens of the answer
+	Guess        int                                 // the caller's estimate of OutTokens; 0 for none
+	Pause        time.Duration                       // longest pause in a stream that counts as in time; 0 if not known
+	Parts        []Part                              // parts of the prompt, in order
+	WaitLimit    time.Duration                       // maximum wait until an engine starts its prefill; 0 for no limit
+	Begun        func(now time.Time)                 // called when an endpoint has started it; may be nil
+	Measured     func(first, expected time.Duration) // called with an attempt's time to its first event; may be nil
 
-	head   bool  // the answer's head has gone out
-	last   int64 // id of the last event that has gone out
+	head   bool  // the answer's head has been written to the caller
+	last   int64 // id of the last event written to the caller
 	began  bool
 	failed *failedAnswer
 }
 
-// failedAnswer is an endpoint's own failure, kept in case no other endpoint
-// does better.
+// failedAnswer is an error answer signed by an endpoint, kept in case that no other
+// attempt succeeds.
 type failedAnswer struct {
 	status int
 	header http.Header
 	body   []byte
 }
 
-// Started reports whether a part of the answer has gone out.
+// Started reports whether a part of the answer has been written to the caller.
 func (x *Relay) Started() bool { return x.head }
 
-// PassFailure writes the last failure that an endpoint answered, if there was
-// one and nothing has gone out.
+// PassFailure writes the last error answer of an endpoint to the caller, if there
+// is one and nothing has been written. It reports whether it did.
 func (x *Relay) PassFailure() bool {
 	if x.failed == nil || x.head {
 		return false
@@ -94,7 +94,7 @@
 	return true
 }
 
-// begun takes in that an endpoint has begun to work on the request.
+// begun records that an endpoint has started the request; only the first call invokes Begun.
 func (x *Relay) begun(now time.Time) {
 	if !x.began && x.Begun != nil {
 		x.Begun(now)
@@ -102,19 +102,19 @@
 	x.began = true
 }
 
-// wholeLimit bounds an answer that is read whole before it is passed on.
+// wholeLimit is the maximum size in bytes of an answer that is read completely before it is forwarded.
 const wholeLimit = 4 << 20
 
 var (
-	errOtherAnswer = errors.New("request: the answer belongs to another request")
-	errUnsigned    = errors.New("request: the answer is not the endpoint's own")
-	errOrder       = errors.New("request: an event is missing or came twice")
-	errOldList     = errors.New("request: what was known of the endpoint has become too old")
-	errLate        = errors.New("request: the deadline has passed")
-	errCaller      = errors.New("request: the caller takes nothing")
+	errOtherAnswer = errors.New("request: answer belongs to another request")
+	errUnsigned    = errors.New("request: answer is not signed by the endpoint")
+	errOrder       = errors.New("request: stream event missing or duplicated")
+	errOldList     = errors.New("request: endpoint list became too old before the endpoint was reached")
+	errLate        = errors.New("request: deadline exceeded")
+	errCaller      = errors.New("request: writing to the caller failed")
 )
 
-// attemptRelay sends the request to one endpoint and passes its answer on.
+// attemptRelay sends the request to one endpoint and forwards its answer.
 func (r *run) attemptRelay(ctx context.Context, c Choice) (Ending, error) {
 	x := r.r.Relay
 	r.attempts++
@@ -148,7 +148,7 @@
 		c.Target.places.Told(now, head.Load-int(c.Target.mine.Load()))
 	}
 	if head.Own && (head.ID == r.r.ID || head.ID == "") {
-		r.heed(c.Target, head) // the answer to another request may be an older one
+		r.heed(c.Target, head) // an answer to another request may carry older values
 	}
 	switch {
 	case head.ID != "" && head.ID != r.r.ID, head.ID == "" && resp.StatusCode < http.StatusBadRequest:
@@ -167,21 +167,21 @@
 }
 
 const (
-	// answerLeast is the least time that an endpoint is given to answer before a
-	// request that may be repeated goes elsewhere.
+	// answerLeast is the minimum time given to an endpoint to answer before a
+	// repeatable request is retried elsewhere.
 	answerLeast = 250 * time.Millisecond
-	// stallTimes and stallLeast tell from which pause on an endpoint is taken to
-	// have fallen silent within a stream: twice what is still in time.
+	// stallTimes and stallLeast define the stall timeout of a stream: stallTimes times
+	// the longest pause that counts as in time, at least stallLeast.
 	stallTimes = 2
 	stallLeast = time.Second
 )
 
-// watchdog ends an attempt at an endpoint that has fallen silent. Without a
-// timer it watches nothing.
+// watchdog cancels an attempt when its endpoint stops sending data. Its zero value
+// does nothing.
 type watchdog struct {
 	timer *time.Timer
 	stall time.Duration
-	over  *atomic.Bool // the attempt has ended, which the timer may not have heard of as it fires
+	over  *atomic.Bool // the attempt has ended; checked by the timer, which may fire concurrently with stop
 }
 
 func (w watchdog) stop() {
@@ -191,16 +191,17 @@
 	}
 }
 
-// feed takes in that the endpoint has sent something.
+// feed restarts the stall timeout when the endpoint has sent data.
 func (w watchdog) feed() {
 	if w.timer != nil {
 		w.timer.Reset(w.stall)
 	}
 }
 
-// watchRelay watches an attempt of a request that may go elsewhere. One that may
-// not is left alone until its deadline: silence proves nothing. While no retry can be
-// spared it is left where it is, too: ended here it would be lost.
+// watchRelay returns a watchdog for an attempt that may be retried elsewhere. Other
+// attempts are not cancelled before the deadline: silence does not prove a failure.
+// While the retry budget has no retry to spare, an attempt is not cancelled either, as
+// the request would be lost.
 func (r *run) watchRelay(c Choice, cancel context.CancelCauseFunc) watchdog {
 	x := r.r.Relay
 	if r.r.Unrepeatable || r.runs+1 >= x.Attempts || !r.opts.Without.On(mechanism.SilenceWatch) {
@@ -208,7 +209,7 @@
 	}
 	wait := max(r.r.Route.Target.Duration, answerLeast) + c.First
 	w := watchdog{stall: max(stallTimes*x.Pause, stallLeast), over: new(atomic.Bool)}
-	var mu sync.Mutex // the timer is set before it can fire and be read
+	var mu sync.Mutex // w.timer is assigned before its callback reads it
 	mu.Lock()
 	defer mu.Unlock()
 	w.timer = time.AfterFunc(wait, func() {
@@ -227,8 +228,8 @@
 	return w
 }
 
-// watchAge ends an attempt that has no connection when the list by which its endpoint
-// was chosen becomes too old: the endpoint may have said since that it leaves.
+// watchAge cancels an attempt that is not yet connected when the list from which its
+// endpoint was chosen becomes too old: the endpoint may have announced since that it leaves.
 func (r *run) watchAge(c Choice, cancel context.CancelCauseFunc) *time.Timer {
 	until := c.Until
 	if until.IsZero() {
@@ -237,7 +238,8 @@
 	return time.AfterFunc(max(until.Sub(r.Now()), clock.LeastTimer), func() { cancel(errOldList) })
 }
 
-// because returns why a context has ended an attempt, or the attempt's error.
+// because returns the cause of the context's cancellation if an attempt failed for it, else the
+// attempt's error.
 func because(ctx context.Context, err error) error {
 	if cause := context.Cause(ctx); err != nil && cause != nil {
 		return cause
@@ -245,7 +247,7 @@
 	return err
 }
 
-// sendPrompt counts a prompt to its engine's backlog, here and at the others.
+// sendPrompt adds the prompt to the backlog of its engine, in this daemon and in the others.
 func (r *run) sendPrompt(c Choice) Mark {
 	x := r.r.Relay
 	if len(x.Parts) == 0 {
@@ -258,19 +260,19 @@
 	return mark
 }
 
-// passWhole reads an answer to its end and passes it on, unless it is a failure
-// that another endpoint may do better than.
+// passWhole reads a complete answer and forwards it, unless it is a server error, for
+// which another endpoint may succeed.
 func (r *run) passWhole(resp *http.Response, head AnswerHead) (Ending, error) {
 	x := r.r.Relay
 	body, err := io.ReadAll(io.LimitReader(resp.Body, wholeLimit+1))
 	if err == nil && len(body) > wholeLimit {
-		err = errors.Errorf("request: the answer is over %d bytes", wholeLimit)
+		err = errors.Errorf("request: answer exceeds %d bytes", wholeLimit)
 	}
 	if err != nil {
 		return EndedBroken, &conn.Failure{Sent: true, Err: err}
 	}
 	if x.head {
-		return EndedBroken, &conn.Failure{Sent: true, Status: resp.StatusCode} // of a stream that was to go on
+		return EndedBroken, &conn.Failure{Sent: true, Status: resp.StatusCode} // in reply to a stream that should have been resumed
 	}
 	x.begun(r.started)
 	if resp.StatusCode >= http.StatusInternalServerError {
@@ -289,26 +291,27 @@
 	return EndedWhole, nil
 }
 
-// write sends a whole answer to the caller.
+// write sends a complete answer to the caller.
 func (x *Relay) write(status int, h http.Header, body []byte) {
 	x.writeHead(status, h)
-	x.Out.Write(body) // an error means that the caller has gone, and changes nothing
+	x.Out.Write(body) // an error means that the caller disconnected and needs no action
 }
 
+// writeHead sends the status and headers to the caller.
 func (x *Relay) writeHead(status int, h http.Header) {
 	x.head = true
 	out := x.Out.Header()
 	x.Codec.Copy(out, h)
 	for _, name := range []string{"Date", "Content-Type"} {
 		if _, ok := out[name]; !ok {
-			out[name] = nil // or net/http adds its own
+			out[name] = nil // otherwise net/http would add its own
 		}
 	}
 	x.Out.WriteHeader(status)
 }
 
-// passEvents passes a stream on event by event. The head goes out with the
-// first event, so that until then the request can still go elsewhere.
+// passEvents forwards a stream event by event. The head is written with the first
+// event, so that until then the request can be retried elsewhere.
 func (r *run) passEvents(c Choice, mark Mark, resp *http.Response, dog watchdog) (Ending, error) {
 	x := r.r.Relay
 	first, count, readBefore := true, 0, time.Duration(0)
@@ -350,7 +353,7 @@
 			return EndedBroken, errOrder
 		}
 		if !x.head {
-			resp.Header.Del("Content-Length") // a stream's parts may come from several endpoints
+			resp.Header.Del("Content-Length") // the parts of a stream may come from several endpoints
 			x.writeHead(resp.StatusCode, resp.Header)
 		}
 		if _, err := x.Out.Write(ev.Raw); err != nil {
