--- a/request/answer.go
+++ b/request/answer.go
@@ -14,53 +14,54 @@
 	"streambend.example/conn"
 )
 
-// Errors of a chunk that does not continue the answer.
+// Errors for a chunk that is not a valid continuation of the answer.
 var (
 	errOtherRequest = errors.New("request: chunk of another request")
 	errNoTokens     = errors.New("request: text without token ids")
-	errTooLong      = errors.New("request: more tokens than asked for")
-	errShort        = errors.New("request: end marker before the end")
+	errTooLong      = errors.New("request: more tokens than requested")
+	errShort        = errors.New("request: end marker before the end of the answer")
 )
 
-// Answer is the answer to one request as it grows. Events are numbered from 1
-// in the order in which the engine sent them, across all attempts; readers
-// follow it from any event.
+// Answer collects the answer to one request as it is generated. Events are numbered
+// from 1 in the order in which engines sent them, across all attempts; readers may
+// start at any event.
 type Answer struct {
 	ID  string
-	Max int // tokens asked for; 0 for no bound
+	Max int // maximum tokens requested; 0 for no limit
 
 	mu      sync.Mutex
-	attempt string // request id of the attempt under way
-	sent    int    // tokens that the attempt was given beyond the prompt
-	skip    int    // tokens that a restarted attempt still has to repeat
+	attempt string // request id of the current attempt
+	sent    int    // answer tokens sent to the attempt after the prompt
+	skip    int    // tokens that a restarted attempt has yet to repeat
 	snap    Snapshot
-	finish  string // announced, until the end marker confirms it
+	finish  string // finish reason, until the end marker confirms it
 	first   time.Time
 	last    time.Time
 	err     *code.Error
 	readers []chan struct{}
 }
 
-// Snapshot is the content of an Answer: what a peer needs to carry it on, and
-// what is stored of an unrepeatable one.
+// Snapshot is the content of an Answer. A peer continues an answer from it, and
+// it is stored for unrepeatable requests.
 type Snapshot struct {
-	Prompt []int        `json:"prompt,omitempty" codec:"p,omitempty"` // token ids, once the engine has told them
+	Prompt []int        `json:"prompt,omitempty" codec:"p,omitempty"` // token ids, once the engine has reported them
 	Tokens []int        `json:"tokens,omitempty" codec:"t,omitempty"`
 	Text   []byte       `json:"text,omitempty" codec:"x,omitempty"`
-	Ends   []int        `json:"ends,omitempty" codec:"e,omitempty"`  // end in Text of each event
-	Marks  []int        `json:"marks,omitempty" codec:"m,omitempty"` // end in Tokens of each event
+	Ends   []int        `json:"ends,omitempty" codec:"e,omitempty"`  // end offset in Text of each event
+	Marks  []int        `json:"marks,omitempty" codec:"m,omitempty"` // end offset in Tokens of each event
 	Finish string       `json:"finish,omitempty" codec:"f,omitempty"`
 	Cached int          `json:"cached,omitempty" codec:"c,omitempty"`
 	Done   bool         `json:"done,omitempty" codec:"d,omitempty"`
 	Plain  *conn.Answer `json:"plain,omitempty" codec:"a,omitempty"`
 }
 
-// NewAnswer returns an empty answer, or one that goes on from a snapshot.
+// NewAnswer returns an answer with the content of a snapshot, which may be empty.
 func NewAnswer(id string, maxTokens int, from Snapshot) *Answer {
 	return &Answer{ID: id, Max: maxTokens, snap: from}
 }
 
-// begin starts an attempt and returns the tokens to send after the prompt.
+// begin starts an attempt and returns the token ids of the prompt and the answer to resume from;
+// none if the attempt starts from the original body.
 func (a *Answer) begin(attempt string, restart bool) (prompt, emitted []int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -73,8 +74,8 @@
 	return a.snap.Prompt, slices.Clone(a.snap.Tokens)
 }
 
-// accept takes a chunk of the attempt in, or refuses it: an answer grows only
-// by the tokens that follow the last one.
+// accept appends a chunk of the attempt, or returns an error if the chunk does not
+// continue the answer after its last token.
 func (a *Answer) accept(now time.Time, c conn.Chunk) error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -106,6 +107,8 @@
 	return a.append(now, c)
 }
 
+// takePrompt stores the prompt's token ids, or checks that their number matches the
+// tokens that were sent.
 func (a *Answer) takePrompt(prompt []int) error {
 	if len(prompt) == 0 {
 		return nil
@@ -120,6 +123,7 @@
 	return nil
 }
 
+// append adds the text and tokens of a chunk as one event.
 func (a *Answer) append(now time.Time, c conn.Chunk) error {
 	if a.Max > 0 && len(a.snap.Tokens)+len(c.Tokens) > a.Max {
 		return errTooLong
@@ -136,7 +140,7 @@
 	return nil
 }
 
-// end takes the end marker in and checks that the answer is whole.
+// end processes the end marker and checks that the answer is complete.
 func (a *Answer) end() error {
 	short := a.finish == "length" && a.Max > 0 && len(a.snap.Tokens) < a.Max
 	if a.finish == "" || short {
@@ -146,8 +150,8 @@
 	return nil
 }
 
-// full reports whether all tokens asked for are there, so that only the end
-// marker was lost.
+// full reports whether the answer has all requested tokens, so that only the end
+// marker can be missing. It then sets the finish reason.
 func (a *Answer) full() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -158,14 +162,14 @@
 	return true
 }
 
-// emitted returns how many tokens the answer holds.
+// emitted returns the number of tokens received.
 func (a *Answer) emitted() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return len(a.snap.Tokens)
 }
 
-// stake returns what the answer stands to lose where it is now.
+// stake returns the progress of the answer, from which its move is planned.
 func (a *Answer) stake(now time.Time) Stake {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -179,7 +183,7 @@
 	return s
 }
 
-// settle ends the answer, with an error unless nil.
+// settle ends the answer, with an error unless err is nil. Later calls have no effect.
 func (a *Answer) settle(err *code.Error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -190,13 +194,14 @@
 	a.wake()
 }
 
-// takePlain takes the whole answer of a plain call in.
+// takePlain sets the complete answer of a plain call.
 func (a *Answer) takePlain(p conn.Answer) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.snap.Plain = &p
 }
 
+// wake notifies the readers. The caller holds mu.
 func (a *Answer) wake() {
 	for _, r := range a.readers {
 		select {
@@ -206,8 +211,8 @@
 	}
 }
 
-// Follow returns a channel that is sent to whenever the answer has grown, and
-// a function that ends that.
+// Follow returns a channel that receives a value whenever the answer has grown or
+// ended, and a function that unsubscribes.
 func (a *Answer) Follow() (changed <-chan struct{}, stop func()) {
 	ch := make(chan struct{}, 1)
 	ch <- struct{}{}
@@ -221,7 +226,7 @@
 	}
 }
 
-// Readers returns how many follow the answer.
+// Readers returns the number of readers that follow the answer.
 func (a *Answer) Readers() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -232,11 +237,11 @@
 type Event struct {
 	Number int // from 1
 	Text   string
-	Tokens int // tokens of the answer up to here
+	Tokens int // cumulative tokens of the answer, including this event
 }
 
-// Events appends the events after a number to buf, and reports whether the
-// answer has ended and with which error.
+// Events appends the events after the given number to buf. It also reports whether
+// the answer has ended, and its error.
 func (a *Answer) Events(after int, buf []Event) (events []Event, done bool, err *code.Error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -250,7 +255,7 @@
 	return buf, a.snap.Done, a.err
 }
 
-// Snapshot returns a copy of the content.
+// Snapshot returns a deep copy of the content.
 func (a *Answer) Snapshot() Snapshot {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -260,7 +265,7 @@
 	return s
 }
 
-// Usage returns the token counts of the whole answer.
+// Usage returns the token counts of the answer.
 func (a *Answer) Usage() conn.Usage {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -268,14 +273,14 @@
 	return conn.Usage{PromptTokens: p, CompletionTokens: c, TotalTokens: p + c, Details: conn.UsageDetails{CachedTokens: a.snap.Cached}}
 }
 
-// Finish returns why the answer ended, in the engine's word.
+// Finish returns the finish reason that the engine gave.
 func (a *Answer) Finish() string {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.snap.Finish
 }
 
-// Ended reports whether the answer has ended, and with which error.
+// Ended reports whether the answer has ended, and its error.
 func (a *Answer) Ended() (done bool, err *code.Error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/request/claim.go
+++ b/request/claim.go
@@ -17,16 +17,16 @@
 
 const claimPart = "claim"
 
-// maxStored bounds the answer kept with a claim; the table's own bound is
-// 400 KB for an item.
+// maxStored is the maximum size in bytes of the row of a claim with its answer. The
+// table's own limit is 400 KB per item.
 const maxStored = 256 << 10
 
-// releasedKept bounds how many claims given up are remembered.
+// releasedKept is the maximum number of released claims, and of taken ones, that are remembered.
 const releasedKept = 16384
 
-// ClaimRow is the value of a claim's item.
+// ClaimRow is the value of a claim's row in the table.
 type ClaimRow struct {
-	Holder   string    `json:"holder"` // the daemon's start that may run it
+	Holder   string    `json:"holder"` // the daemon, including its start, that may run the request
 	Body     uint64    `json:"body"`   // hash of the request's body
 	At       time.Time `json:"at"`
 	Answered bool      `json:"answered,omitempty"`
@@ -34,18 +34,18 @@
 	Answer   *Snapshot `json:"answer,omitempty"`
 }
 
-// ClaimState is what became of an attempt to claim.
+// ClaimState is the result of an attempt to claim a request.
 type ClaimState int
 
-// The states of a claim.
+// The results of an attempt to claim.
 const (
-	ClaimTaken    ClaimState = iota // ours: the request may be sent, once
-	ClaimAnswered                   // it has run; the answer is in the row
-	ClaimHeld                       // another daemon, or an earlier call, has it
-	ClaimDown                       // the table cannot tell; nothing may be sent
+	ClaimTaken    ClaimState = iota // claimed by this call: the request may be sent once
+	ClaimAnswered                   // the request has run; the answer is in the row
+	ClaimHeld                       // claimed by another daemon or an earlier call
+	ClaimDown                       // the table is unavailable; nothing may be sent
 )
 
-// Claim is the outcome of Take.
+// Claim is the result of Take.
 type Claim struct {
 	State ClaimState
 	Row   ClaimRow
@@ -53,34 +53,35 @@
 	key   seam.Key
 }
 
-// Claims keeps the rows that make an unrepeatable request run at most once.
+// Claims manages the rows that ensure that an unrepeatable request runs at most once.
 type Claims struct {
 	Self  string // unique to this start of the daemon
 	Table seam.Table
 
 	mu       sync.Mutex
-	released *simplelru.LRU[string, bool] // claims given up before sending
-	taken    *simplelru.LRU[string, bool] // claims that may have been sent
+	released *simplelru.LRU[string, bool] // claims released before sending
+	taken    *simplelru.LRU[string, bool] // claims whose request may have been sent
 }
 
 // NewClaims returns the claims of a daemon.
 func NewClaims(self string, t seam.Table) *Claims {
-	// A release that is forgotten makes a repeat unknown, never a second run.
+	// A forgotten release makes the outcome of a repeat unknown, but never causes a second run.
 	released, _ := simplelru.NewLRU[string, bool](releasedKept, nil)
 	taken, _ := simplelru.NewLRU[string, bool](releasedKept, nil)
 	return &Claims{Self: self, Table: t, released: released, taken: taken}
 }
 
-// Take claims the request of a name before its first byte is sent.
+// Take claims the request of a name. It must be called before the first byte is sent.
 func (c *Claims) Take(ctx context.Context, now time.Time, name string, body uint64) Claim {
 	return c.put(ctx, now, Claim{key: seam.Key{Part: claimPart, Sort: name}}, body)
 }
 
-// Over takes a claim over from a holder that has said it did not run it.
+// Over takes over the claim of a holder that reported not to have run it.
 func (c *Claims) Over(ctx context.Context, now time.Time, from Claim) Claim {
 	return c.put(ctx, now, from, from.Row.Body)
 }
 
+// put writes the row of a claim if it is still at the revision of from.
 func (c *Claims) put(ctx context.Context, now time.Time, from Claim, body uint64) Claim {
 	cl := Claim{State: ClaimTaken, key: from.key, rev: from.rev + 1, Row: ClaimRow{Holder: c.Self, Body: body, At: now}}
 	v, err := json.Marshal(cl.Row)
@@ -95,9 +96,9 @@
 	case errors.Is(err, seam.ErrConflict):
 		return c.read(ctx, from.key)
 	default:
-		// The row may stand although the table could not say so. Nothing is
-		// sent, and whoever finds the row is told that; but an earlier call
-		// of this name may have been.
+		// The row may have been written although the call failed. Nothing is sent,
+		// so the claim is remembered as released for a daemon that finds the row,
+		// unless an earlier call of this name may have been sent.
 		if !c.remembered(from.key.Sort) {
 			c.remember(from.key.Sort)
 		}
@@ -105,6 +106,7 @@
 	}
 }
 
+// read returns the existing claim of a key.
 func (c *Claims) read(ctx context.Context, key seam.Key) Claim {
 	it, err := c.Table.Get(ctx, key)
 	if err != nil {
@@ -120,6 +122,7 @@
 	return cl
 }
 
+// remember records a claim as released.
 func (c *Claims) remember(name string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -127,6 +130,7 @@
 	c.taken.Remove(name)
 }
 
+// forget removes the record of a released claim.
 func (c *Claims) forget(name string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -140,6 +144,7 @@
 	return c.taken.Contains(name)
 }
 
+// mark records a claim as taken.
 func (c *Claims) mark(name string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -147,15 +152,15 @@
 	c.taken.Add(name, true)
 }
 
-// Released reports whether this daemon gave up the claim of a name before it
-// sent anything. It answers the daemon that finds the row.
+// Released reports whether this daemon released the claim of a name before
+// sending anything. It answers a daemon that has found the row.
 func (c *Claims) Released(name string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.released.Contains(name)
 }
 
-// Release gives a claim up whose request was not sent.
+// Release deletes the claim of a request that was not sent.
 func (c *Claims) Release(ctx context.Context, cl Claim) {
 	c.remember(cl.key.Sort)
 	w := seam.Write{Key: cl.key, Rev: cl.rev, Delete: true}
@@ -164,7 +169,7 @@
 	}
 }
 
-// Store keeps the answer with the claim, so that a repeated call gets it.
+// Store stores the answer in the row of the claim, so that a repeated call gets it.
 func (c *Claims) Store(ctx context.Context, cl Claim, s Snapshot) error {
 	row := cl.Row
 	row.Answered, row.Answer = true, &s
--- a/request/kept.go
+++ b/request/kept.go
@@ -9,7 +9,7 @@
 	"streambend.example/code"
 )
 
-// keptAnswers are the answers that can be joined by their key.
+// keptAnswers holds the running and recently finished answers, which repeated calls join by their key.
 type keptAnswers struct {
 	keep time.Duration
 	most int
@@ -19,6 +19,7 @@
 	done   []*kept // finished, the oldest first
 }
 
+// kept is an entry of keptAnswers.
 type kept struct {
 	name string
 	body uint64
@@ -32,7 +33,7 @@
 	k.keep, k.most, k.byName = o.Keep, o.KeepMost, make(map[string]*kept)
 }
 
-// join returns the answer kept under a name, or a fresh one.
+// join returns the answer stored under a name, or adds a new one.
 func (k *keptAnswers) join(now time.Time, name string, r *Request) (a *Answer, fresh bool, err error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -40,7 +41,7 @@
 	body := r.BodyHash()
 	if old := k.byName[name]; old != nil {
 		if old.body != body {
-			return nil, false, code.New(code.KeyReused, "another body was sent with this key")
+			return nil, false, code.New(code.KeyReused, "the key was used before with another body")
 		}
 		if !old.over || old.a.reusable() {
 			return old.a, false, nil
@@ -51,14 +52,15 @@
 	return e.a, true, nil
 }
 
-// reusable reports whether an ended answer serves a repeated call: a refusal
-// does not, for the request has not run.
+// reusable reports whether a finished answer may serve a repeated call. A refusal
+// may not, since the request has not run.
 func (a *Answer) reusable() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.err == nil || a.err.Code.Ran() != code.NotRun
 }
 
+// finish marks an answer as finished.
 func (k *keptAnswers) finish(now time.Time, name string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -69,6 +71,7 @@
 	k.expire(now)
 }
 
+// expire removes the finished answers beyond the limits of age and number. The caller holds mu.
 func (k *keptAnswers) expire(now time.Time) {
 	n := 0
 	for n < len(k.done) && (len(k.done)-n > k.most || now.Sub(k.done[n].at) > k.keep) {
@@ -80,7 +83,7 @@
 	k.done = k.done[n:]
 }
 
-// running reports whether the request of a name is under way.
+// running reports whether the request of a name is running.
 func (k *keptAnswers) running(name string) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -88,7 +91,7 @@
 	return e != nil && !e.over
 }
 
-// AnswerClaim says, for another daemon, what became of a claim of this one.
+// AnswerClaim returns the state of a claim of this daemon, to answer another daemon's AskClaim.
 func (s *Server) AnswerClaim(name string) HolderState {
 	switch {
 	case s.Claims.Released(name):
@@ -102,15 +105,15 @@
 	}
 }
 
-// Handover is the state of a keyed answer that a stopping daemon gives to a
-// peer.
+// Handover is the state of a keyed answer that a daemon gives to a peer as it
+// shuts down.
 type Handover struct {
 	Name     string   `codec:"n"`
 	Snapshot Snapshot `codec:"s"`
 }
 
-// HandOver ends the keyed answers under way that may be repeated and returns
-// their states, for a peer to keep until their callers come back.
+// HandOver ends the running keyed answers that may be repeated and returns
+// their states, for a peer to keep until the callers reconnect.
 func (s *Server) HandOver() []Handover {
 	s.kept.mu.Lock()
 	var es []*kept
@@ -128,7 +131,7 @@
 	return out
 }
 
-// load fills an answer from a stored one and ends it.
+// load replaces the content of an answer by a stored one and ends it.
 func (a *Answer) load(s Snapshot) {
 	a.mu.Lock()
 	a.snap = s
@@ -137,7 +140,7 @@
 	a.settle(nil)
 }
 
-// firstAt returns when the first token came.
+// firstAt returns when the first token arrived.
 func (a *Answer) firstAt() time.Time {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/request/lines.go
+++ b/request/lines.go
@@ -12,7 +12,7 @@
 	"streambend.example/conn"
 )
 
-// fields are what each of a request's log lines says of it.
+// fields returns the fields common to all log lines of a request.
 func (r *run) fields(now time.Time) logrus.Fields {
 	return logrus.Fields{
 		"request": r.r.ID, "print": r.print.String(), "service": strings.TrimPrefix(r.work.Pool.Service, "/"), "route": r.r.Route.Name, "team": r.r.Team,
@@ -20,7 +20,7 @@
 	}
 }
 
-// line returns a log line of a request, or nil if its level is not written.
+// line returns a log entry for the request, or nil if the level is disabled.
 func (r *run) line(now time.Time, level logrus.Level) *logrus.Entry {
 	if !r.log.Logger.IsLevelEnabled(level) {
 		return nil
@@ -28,7 +28,7 @@
 	return r.log.WithFields(r.fields(now))
 }
 
-// logChoice writes why an endpoint was chosen.
+// logChoice logs the chosen endpoint and the reason for the choice.
 func (r *run) logChoice(now time.Time, c Choice) {
 	l := r.line(now, logrus.InfoLevel)
 	if l == nil {
@@ -51,7 +51,7 @@
 	l.WithFields(f).Info("routed")
 }
 
-// logAttempt writes how an attempt ended that did not end the request well.
+// logAttempt logs an attempt that did not complete the request.
 func (r *run) logAttempt(now time.Time, t *Target, e Ending, v Verdict, failure error) {
 	if l := r.line(now, logrus.InfoLevel); l != nil {
 		l.WithFields(logrus.Fields{
@@ -61,7 +61,7 @@
 	}
 }
 
-// logEnd writes how the request ended.
+// logEnd logs the end of the request.
 func (r *run) logEnd(now time.Time, err *code.Error) {
 	level := logrus.InfoLevel
 	if err != nil && err.Code.Ran() != code.NotRun {
@@ -83,7 +83,7 @@
 	}
 }
 
-// logEject writes that an endpoint is kept out.
+// logEject logs the ejection of an endpoint.
 func (r *run) logEject(t *Target, why string) {
 	r.log.WithFields(logrus.Fields{"endpoint": t.ID, "service": r.work.Pool.Service, "request": r.r.ID}).Warnf("ejected: %s", why)
 }
--- a/request/print.go
+++ b/request/print.go
@@ -4,8 +4,8 @@
 
 import "streambend.example/crash"
 
-// Print returns the name of what the request asks for: the same for each try of its caller,
-// at whichever daemon.
+// Print returns a fingerprint of the request's content. It is the same when the
+// caller retries, at any daemon.
 func (r *Request) Print() crash.Print {
 	host := ""
 	if r.Relay != nil {
--- a/request/request.go
+++ b/request/request.go
@@ -21,46 +21,46 @@
 	ChatPath       = "/v1/chat/completions"
 )
 
-// bytesPerToken is what a token of text is taken for before the engine has
-// counted.
+// bytesPerToken is the assumed size of a token of text, until the engine has reported
+// the token count.
 const bytesPerToken = 4
 
-// defaultAffinity is how many bytes of a prompt name its prefix.
+// defaultAffinity is the default length in bytes of the prompt prefix that is hashed for routing.
 const defaultAffinity = 2048
 
-// Request is one request of a caller.
+// Request is a caller's request.
 type Request struct {
 	ID           string
 	Key          string // the caller's idempotency key, or ""
 	Partner      string
 	Team         string
-	Weight       float64 // share of the team
+	Weight       float64 // weight of the team in fair queuing
 	Service      version.Service
 	Route        version.Route
 	Unrepeatable bool
 	Arrived      time.Time
 	Deadline     time.Time
-	After        int // number of the last event that the caller has seen
+	After        int // number of the last event that the caller has received
 
-	Path   string // of a model request, or of a plain one with its query
+	Path   string // path; for a plain request with its query
 	Method string
 	Header http.Header
 	Body   []byte
-	Model  ModelBody // of a model request
-	Relay  *Relay    // of a request whose answer is passed on unread; nil for others
+	Model  ModelBody // set for a model request
+	Relay  *Relay    // set for a request whose answer is forwarded unparsed; else nil
 }
 
-// ModelBody is what is read of a completion or chat request.
+// ModelBody is the parsed part of the body of a completion or chat request.
 type ModelBody struct {
 	Max    int
 	Stream bool
-	Usage  bool // the caller asked for usage at the end of a stream
+	Usage  bool // the caller requested usage at the end of the stream
 	Head   []byte
-	Length int // bytes of the prompt
+	Length int // of the prompt, in bytes
 	fields fields
 }
 
-// fields are the members of a JSON body; those we do not know pass unchanged.
+// fields are the members of a JSON body. Unknown members are forwarded unchanged.
 type fields map[string]json.RawMessage
 
 type wireModel struct {
@@ -83,8 +83,8 @@
 	Content json.RawMessage `json:"content"`
 }
 
-// ParseModel reads the body of a model request and returns the name that it
-// gives as its model. The errors are code.BadBody and code.NotSupported.
+// ParseModel parses the body of a model request and also returns the model's name.
+// Its errors have the code code.BadBody or code.NotSupported.
 func ParseModel(path string, body []byte) (ModelBody, string, error) {
 	var w wireModel
 	m := ModelBody{}
@@ -103,6 +103,7 @@
 	return m, w.Model, nil
 }
 
+// checkModel validates the body of a model request.
 func checkModel(path string, w *wireModel) error {
 	switch {
 	case w.Model == "":
@@ -124,13 +125,14 @@
 	return nil
 }
 
+// promptIsOne reports whether a prompt is one string or one list of token ids.
 func promptIsOne(p json.RawMessage) bool {
 	var text string
 	var ids []int
 	return json.Unmarshal(p, &text) == nil || json.Unmarshal(p, &ids) == nil
 }
 
-// promptBytes returns the bytes that name the prompt's prefix.
+// promptBytes returns the bytes of the prompt, of which a prefix is hashed for routing.
 func promptBytes(w *wireModel) []byte {
 	if len(w.Messages) == 0 {
 		return w.Prompt
@@ -143,7 +145,7 @@
 	return b
 }
 
-// Prefix returns the hash of the prompt's head, which orders the endpoints.
+// Prefix returns the hash of the prompt's prefix, by which endpoints are ranked.
 func (r *Request) Prefix() uint64 {
 	if r.Relay != nil {
 		return r.Relay.Prefix
@@ -156,7 +158,7 @@
 	return xxhash.Sum64(head[:min(n, len(head))]) | 1
 }
 
-// PromptTokens returns about how many tokens the prompt has.
+// PromptTokens returns an estimate of the number of prompt tokens.
 func (r *Request) PromptTokens() int {
 	if r.Relay != nil {
 		return r.Relay.PromptTokens
@@ -164,7 +166,7 @@
 	return r.Model.Length / bytesPerToken
 }
 
-// expectOut returns how many tokens the answer is expected to have.
+// expectOut returns the expected number of answer tokens.
 func (r *Request) expectOut() int {
 	if r.Relay != nil {
 		return r.Relay.OutTokens
@@ -172,8 +174,8 @@
 	return r.Model.Max
 }
 
-// BodyHash names the request's content, to tell a repeat from another request
-// under the same key.
+// BodyHash returns a hash of the request's content, which distinguishes a repeat from
+// a different request with the same key.
 func (r *Request) BodyHash() uint64 {
 	h := xxhash.New()
 	h.WriteString(r.Method + " " + r.Path + "\n")
@@ -181,12 +183,12 @@
 	return h.Sum64()
 }
 
-// ClaimName names the request for its claim and for the answers kept.
+// ClaimName returns the name under which the request is claimed and its answer is stored.
 func (r *Request) ClaimName() string {
 	return r.Partner + "/" + r.Team + "/" + r.Route.Name + "/" + r.Key
 }
 
-// target returns when the answer is wanted.
+// target returns the time by which the route's latency target is met, or zero if it has none.
 func (r *Request) target() time.Time {
 	if r.Route.Target.Duration == 0 {
 		return time.Time{}
@@ -197,13 +199,14 @@
 // IsModel reports whether the request goes to a model engine.
 func (r *Request) IsModel() bool { return r.Service.Kind == version.Model }
 
+// raw encodes a value as JSON.
 func raw(v any) json.RawMessage {
 	b, _ := json.Marshal(v)
 	return b
 }
 
-// attemptBody returns the path and the body of one attempt: the caller's own,
-// or a continuation from the prompt's and the answer's token ids.
+// attemptBody returns the path and the body of an attempt: the caller's own, or a
+// continuation from the token ids of the prompt and the answer so far.
 func (r *Request) attemptBody(prompt, emitted []int, cacheKey string) (path string, body []byte, err error) {
 	f := make(fields, len(r.Model.fields)+6)
 	for k, v := range r.Model.fields {
@@ -232,13 +235,13 @@
 	return path, body, errors.Wrap(err, "request: body")
 }
 
-// hopHeaders are not passed on to an endpoint.
+// hopHeaders are the headers that are not forwarded to an endpoint.
 var hopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Authorization", "Proxy-Connection", "Te", "Trailer", "Transfer-Encoding",
 	"Upgrade", "Authorization", "Content-Length", "Accept-Encoding", "Last-Event-Id",
 }
 
-// forward returns the headers of a plain call for its endpoint.
+// forward returns the headers of a plain call that are sent to its endpoint.
 func (r *Request) forward(attempt string) http.Header {
 	h := r.Header.Clone()
 	if h == nil {
