--- a/request/move.go
+++ b/request/move.go
@@ -12,26 +12,26 @@
 	"github.com/pkg/errors"
 )
 
-// MovePolicy names a way of bringing streams off a leaving endpoint.
+// MovePolicy selects how streams are moved off a leaving endpoint.
 type MovePolicy string
 
-// The policies for moves: ours and the baselines it is measured against.
+// The move policies: MoveOurs, and the baselines for comparison.
 const (
 	MoveOurs    MovePolicy = "ours"
-	MoveRestart MovePolicy = "restart" // from the prompt, all tokens again
-	MoveResume  MovePolicy = "resume"  // always from prompt plus emitted tokens
-	MoveExport  MovePolicy = "export"  // always with the KV cache
+	MoveRestart MovePolicy = "restart" // always from the prompt; all tokens are generated again
+	MoveResume  MovePolicy = "resume"  // always from the prompt and the emitted tokens
+	MoveExport  MovePolicy = "export"  // always with a transfer of the KV cache
 )
 
-// Stake is what one stream on a leaving endpoint stands to lose.
+// Stake describes a stream on a leaving endpoint: what a move of it costs and how soon it finishes.
 type Stake struct {
-	Context int     // tokens of prompt and answer so far
-	Left    int     // tokens still to come, at the most; 0 if not known
-	Rate    float64 // tokens a second
-	Pinned  bool    // may not begin a second time, so it can only finish
+	Context int     // tokens of the prompt and of the answer so far
+	Left    int     // maximum number of remaining tokens; 0 if not known
+	Rate    float64 // tokens per second
+	Pinned  bool    // must not be started a second time, so it can only finish
 }
 
-// MoveKind is what becomes of a stream on a leaving endpoint.
+// MoveKind is the way in which a stream on a leaving endpoint is handled.
 type MoveKind int
 
 // The kinds of move.
@@ -47,34 +47,34 @@
 	return [...]string{"finish", "export", "resume", "restart"}[k]
 }
 
-// Move is what to do with a stream, and when to cut it.
+// Move is the plan for a stream, and the time at which it is cancelled at its endpoint.
 type Move struct {
 	Kind MoveKind
 	At   time.Time
 }
 
-// MoveParams are the measured speeds a triage rests on.
+// MoveParams are the parameters of Triage.
 type MoveParams struct {
 	Policy   MovePolicy
-	Transfer float64 // tokens of KV an endpoint exports a second
+	Transfer float64 // KV cache tokens that an endpoint exports per second
 }
 
 const (
-	// finishShare is the share of the notice by whose end a stream must be
-	// expected to finish, if it is to stay.
+	// finishShare is the share of the notice period within which a stream must be
+	// expected to finish in order to stay.
 	finishShare = 0.7
-	// cutShare is the share of the notice within which all others are cut:
-	// their prefill elsewhere shall not come all at once, and not too late.
+	// cutShare is the share of the notice period over which all other streams are
+	// cancelled, so that their prefill elsewhere comes neither all at once nor too late.
 	cutShare = 0.5
-	// waveSettle is how long an export waits for further notices.
+	// waveSettle is the maximum delay before the first move, to wait for further notices.
 	waveSettle = 100 * time.Millisecond
-	// exportMin is the context below which computing again costs less than
-	// the calls of an export.
+	// exportMin is the context in tokens below which recomputation costs less than the
+	// calls of an export.
 	exportMin = 128
 )
 
-// Triage decides for each stream on an endpoint that leaves at the deadline.
-// The answer has one Move for each stake, in the same order.
+// Triage plans a move for each stream on an endpoint that leaves at the deadline.
+// The result has one Move for each stake, in the same order.
 func Triage(now, deadline time.Time, stakes []Stake, p MoveParams) []Move {
 	notice := deadline.Sub(now)
 	moves := make([]Move, len(stakes))
@@ -86,11 +86,11 @@
 		}
 		rest = append(rest, i)
 	}
-	// The dearest first: they get the export's bandwidth.
+	// The largest contexts come first: they get the export bandwidth.
 	slices.SortStableFunc(rest, func(a, b int) int { return cmp.Compare(stakes[b].Context, stakes[a].Context) })
 	window := time.Duration(cutShare * float64(notice))
-	// The notices of a wave come one after the other; an export that waits a
-	// moment does not go to the next box of the same wave.
+	// Notices of several boxes arrive one after the other. A short delay avoids an
+	// export to a box that is about to get its own notice.
 	settle := min(waveSettle, notice/20)
 	var exported time.Duration
 	for n, i := range rest {
@@ -102,8 +102,8 @@
 		case MoveResume:
 			continue
 		}
-		// A stream whose prompt is still being computed has no context yet;
-		// the export waits for it, and computing it again would cost it all.
+		// A context of 0 means that the prefill is still running. The export waits
+		// for it, since recomputation would repeat all of it.
 		known := stakes[i].Context > 0
 		if p.Transfer <= 0 || (known && stakes[i].Context < exportMin && p.Policy != MoveExport) {
 			continue
@@ -118,17 +118,18 @@
 	return moves
 }
 
+// finishes reports whether a stream is expected to finish in time.
 func finishes(s Stake, within time.Duration) bool {
 	return s.Left > 0 && s.Rate > 0 && time.Duration(float64(s.Left)/s.Rate*float64(time.Second)) <= within
 }
 
-// errCut is the cause of an attempt that was ended in order to move.
-var errCut = errors.New("request: cut to move")
+// errCut is the cancellation cause of an attempt whose stream is moved.
+var errCut = errors.New("request: attempt cancelled to move the stream")
 
-// Flight is one attempt that is under way at an endpoint.
+// Flight is an attempt that is running at an endpoint.
 type Flight struct {
 	answer *Answer
-	prefix uint64 // of the prompt, 0 for a plain call
+	prefix uint64 // hash of the prompt prefix; 0 for a plain call
 	pinned bool
 	cancel context.CancelCauseFunc
 
@@ -138,14 +139,15 @@
 	prefer  *Target
 }
 
-// Stake returns what the flight stands to lose.
+// Stake returns the state of the attempt's stream for Triage.
 func (f *Flight) Stake(now time.Time) Stake {
 	s := f.answer.stake(now)
 	s.Pinned = f.pinned
 	return s
 }
 
-// Cut ends the attempt so that it goes on elsewhere, at prefer if not nil.
+// Cut cancels the attempt so that its request continues elsewhere, at prefer if that is not nil.
+// It does nothing for a pinned attempt.
 func (f *Flight) Cut(prefer *Target, restart bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -156,7 +158,7 @@
 	f.cancel(errCut)
 }
 
-// wasCut reports whether the attempt was cut, and where it shall go on.
+// wasCut reports whether the attempt was cancelled by Cut, and with which arguments.
 func (f *Flight) wasCut() (prefer *Target, restart, ok bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/request/notice.go
+++ b/request/notice.go
@@ -9,13 +9,13 @@
 	"streambend.example/clock"
 )
 
-// Leave tells that a box will be gone at a deadline.
+// Leave is the notice that a box will be gone at a deadline.
 type Leave struct {
 	Box      string
 	Deadline time.Time
 }
 
-// departure is an endpoint that has just been marked as leaving.
+// departure is an endpoint newly marked as leaving, with its running attempts.
 type departure struct {
 	work     *Work
 	target   *Target
@@ -23,8 +23,8 @@
 	flights  []*Flight
 }
 
-// Notice brings the streams off endpoints that leave. All are marked before any
-// stream moves, so that none moves to another that is about to leave.
+// Notice moves the streams off leaving endpoints. All endpoints are marked before
+// any stream moves, so that none moves to an endpoint that is also leaving.
 func (s *Server) Notice(now time.Time, leaves []Leave) {
 	var ds []departure
 	for _, l := range leaves {
@@ -41,7 +41,7 @@
 	}
 }
 
-// depart decides for the streams of one endpoint.
+// depart plans and schedules the moves of the streams of one endpoint.
 func (s *Server) depart(now time.Time, d departure) {
 	stakes := make([]Stake, len(d.flights))
 	for i, f := range d.flights {
@@ -55,7 +55,7 @@
 	}
 }
 
-// schedule cuts one stream when its time has come.
+// schedule starts the timer for the move of one stream.
 func (s *Server) schedule(now time.Time, w *Work, t *Target, f *Flight, m Move) {
 	switch m.Kind {
 	case StayAndFinish:
@@ -66,8 +66,8 @@
 	}
 }
 
-// awaitPrompt returns the stream's content once the engine has told the
-// prompt's tokens, or as it is when half of the notice is over.
+// awaitPrompt returns the stream's content as soon as the engine has reported the
+// token ids of the prompt, or after half of the notice period.
 func (s *Server) awaitPrompt(f *Flight, now, deadline time.Time) Snapshot {
 	ctx, cancel := context.WithTimeout(s.alive, deadline.Sub(now)/2)
 	defer cancel()
@@ -85,12 +85,12 @@
 	}
 }
 
-// export has another engine pull the stream's KV cache and cuts the stream
-// over to it; without one the stream is resumed from its tokens.
+// export makes another engine pull the stream's KV cache and moves the stream to it.
+// If that is not possible, the stream is resumed elsewhere from its tokens.
 func (s *Server) export(w *Work, t *Target, f *Flight) {
 	deadline, _ := t.Leaving()
 	snap := s.awaitPrompt(f, s.Now(), deadline)
-	// Where the prompt's head belongs next, part of the cache may be already.
+	// The engine that prefix routing chooses next may already cache a part of the prompt.
 	need := Need{Prefix: f.prefix, Prompt: len(snap.Prompt), PrefillRate: w.Speed.Prefill(), Avoid: t}
 	c, ok := w.Pool.Route(s.Now(), need)
 	if !ok || len(snap.Prompt) == 0 {
@@ -101,7 +101,7 @@
 	defer cancel()
 	err := s.Client.ImportKV(ctx, c.Target.Address, t.Address, "move", append(snap.Prompt, snap.Tokens...))
 	if err != nil {
-		s.log.Infof("move: %s without its KV cache: %v", f.answer.ID, err)
+		s.log.Infof("move: %s moves without its KV cache: %v", f.answer.ID, err)
 		f.Cut(nil, false)
 		return
 	}
--- a/request/trial.go
+++ b/request/trial.go
@@ -11,47 +11,47 @@
 	"streambend.example/rollout"
 )
 
-// Trials decides which requests go to a version that is rolled out, and is told what came of
-// them and of those beside them.
+// Trials decides which requests go to a version that is being rolled out, and records the outcomes
+// of these and of the other requests.
 type Trials interface {
 	// Take counts a request and reports whether it goes to the version on trial.
 	Take(now time.Time, a TrialAsk) bool
-	// Return takes back what Take has given, as no endpoint could take it.
+	// Return reverts a true result of Take for which no endpoint was available.
 	Return(a TrialAsk)
-	// Unsent takes a request back that Take has counted, as it was sent nowhere.
+	// Unsent reverts the count of a request that was not sent.
 	Unsent(a TrialAsk)
-	// Still reports whether a request may go to the version on trial now.
+	// Still reports whether a request may still go to the version on trial.
 	Still(now time.Time, service string) bool
-	// Note takes in what came of an attempt.
+	// Note records the outcome of an attempt.
 	Note(now time.Time, a TrialAnswer)
 }
 
-// TrialAsk is a request before it is sent for the first time.
+// TrialAsk describes a request before its first attempt.
 type TrialAsk struct {
-	Service string // name
+	Service string // name of the service
 	rollout.Ask
 }
 
-// TrialAnswer is what came of an attempt, as far as it may tell of the endpoint's version.
+// TrialAnswer is the outcome of an attempt, as evidence about the endpoint's version.
 type TrialAnswer struct {
 	Service  string
 	Route    string
 	Endpoint string
 	Version  string
-	Failed   bool          // the endpoint's own answer is a failure
-	Silent   bool          // it was given up for its silence
-	Took     time.Duration // until the end
-	First    time.Duration // until the first event of a stream
-	Expected time.Duration // of First, by the model of the engines; 0 if not known
-	Events   int           // of a stream
+	Failed   bool          // the endpoint itself answered with an error
+	Silent   bool          // it was cancelled because the endpoint sent no data
+	Took     time.Duration // time to the end
+	First    time.Duration // time to the first event of a stream
+	Expected time.Duration // predicted value of First; 0 if not known
+	Events   int           // number of events of a stream
 }
 
-// errBarred ends an attempt whose endpoint's version may get no requests any more.
-var errBarred = errors.New("request: the endpoint's version may get no requests")
+// errBarred is the error of an attempt whose endpoint's version may no longer get requests.
+var errBarred = errors.New("request: version of the endpoint may not get requests")
 
-// Rule brings the roles of all endpoints in line with a service's versions. Of those on trial only
-// the first so many take requests, in an order that all daemons share, so that each of
-// them has as much to do as one of the old version; 0 for all.
+// Rule sets the roles of all endpoints according to the standing of a service's versions. Of the
+// endpoints on trial only the first most take requests (all if most is 0), in an order that is the
+// same in all daemons, so that each of them gets as much load as one of the old version.
 func (p *Pool) Rule(s rollout.Standing, most int) {
 	p.mu.Lock()
 	p.standing = s
@@ -79,7 +79,7 @@
 	}
 }
 
-// Versions counts the endpoints of each version that have not been told to leave.
+// Versions returns the number of endpoints per version, without those that are leaving.
 func (p *Pool) Versions() map[string]int {
 	out := make(map[string]int)
 	for _, t := range p.Targets() {
@@ -90,7 +90,7 @@
 	return out
 }
 
-// Ready counts the endpoints of a role that take requests.
+// Ready returns the number of endpoints of a role that are neither leaving nor ejected.
 func (p *Pool) Ready(r rollout.Role) (n int) {
 	for _, t := range p.Targets() {
 		if t.Role() == r && !t.out.Load() {
@@ -100,7 +100,7 @@
 	return n
 }
 
-// InFlightAt returns how many requests of this daemon are at endpoints of a role.
+// InFlightAt returns the number of this daemon's requests at endpoints of a role.
 func (p *Pool) InFlightAt(r rollout.Role) (n int) {
 	for _, t := range p.Targets() {
 		if t.Role() == r {
@@ -110,10 +110,11 @@
 	return n
 }
 
-// Role returns what the endpoint's version may get.
+// Role returns the role of the endpoint's version.
 func (t *Target) Role() rollout.Role { return rollout.Role(t.role.Load()) }
 
-// takes reports whether the endpoint's version takes requests of a need.
+// takes reports whether the endpoint's version accepts a request; trial is whether that is for
+// the version on trial.
 func (t *Target) takes(trial bool) bool {
 	switch t.Role() {
 	case rollout.Own:
@@ -124,7 +125,7 @@
 	return false
 }
 
-// trialAsk is this request as the share of a version on trial looks at it.
+// trialAsk describes this request for Trials.
 func (r *run) trialAsk() TrialAsk {
 	a := TrialAsk{Service: r.r.Service.Name, Ask: rollout.Ask{Route: r.r.Route.Name}}
 	if r.r.IsModel() {
@@ -135,8 +136,8 @@
 	return a
 }
 
-// chooseTrial chooses an endpoint of a version on trial, if the request is to go there. What is
-// tried again, or would wait there too long, goes to the service's own version.
+// chooseTrial chooses an endpoint of the version on trial if Trials assigns the request to it. A
+// retry, or a request that would wait too long there, goes to the service's own version.
 func (r *run) chooseTrial(now time.Time, n Need) (c Choice, ok bool) {
 	if r.opts.Trials == nil || r.drawn || r.attempts > 0 {
 		return c, false
@@ -155,22 +156,22 @@
 	return c, false
 }
 
-// giveBackTrial takes back that a request goes to the version on trial, whose endpoint may not be sent
-// it: it goes to the service's own.
+// giveBackTrial reverts the assignment of a request to the version on trial when its endpoint may
+// not be sent the request, which then goes to the service's own version.
 func (r *run) giveBackTrial(c Choice) {
 	if r.opts.Trials != nil && c.Target.Role() == rollout.Trial {
 		r.opts.Trials.Return(r.trialAsk())
 	}
 }
 
-// unsent tells that a request which was counted is refused without having been sent.
+// unsent reverts the count of a request that is refused without having been sent.
 func (r *run) unsent() {
 	if r.drawn && r.attempts == 0 {
 		r.opts.Trials.Unsent(r.trialAsk())
 	}
 }
 
-// barred reports whether the chosen endpoint's version may not get this request any more.
+// barred reports whether the chosen endpoint's version may no longer get this request.
 func (r *run) barred(now time.Time, t *Target) bool {
 	switch t.Role() {
 	case rollout.Own:
@@ -181,8 +182,8 @@
 	return true
 }
 
-// noteTrial tells what came of an attempt. A connection that was cut or refused, and an answer
-// that is not whole or not the endpoint's own, tell nothing of its version.
+// noteTrial reports the outcome of an attempt to Trials. A broken or refused connection, or an answer
+// that is incomplete or not signed by the endpoint, is no evidence about its version.
 func (r *run) noteTrial(now time.Time, t *Target, e Ending, failure error) {
 	if r.opts.Trials == nil || r.r.Relay == nil || r.started.Before(t.SlowUntil) {
 		return
