--- a/request/life_test.go
+++ b/request/life_test.go
@@ -13,7 +13,8 @@
 	"streambend.example/request"
 )
 
-// TestClassifyNeverAllowsASecondRun draws any aftermath of an attempt.
+// TestClassifyNeverAllowsASecondRun checks that, for any outcome of an attempt, an unrepeatable request
+// that may have started is not sent again, and that "not run" is never reported wrongly.
 func TestClassifyNeverAllowsASecondRun(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a := request.Aftermath{
@@ -26,7 +27,7 @@
 		a.Tainted = begun || rapid.Bool().Draw(t, "tainted")
 		v := request.Classify(start, a)
 		if v.Action == request.Again && a.Unrepeatable && begun {
-			t.Fatalf("an unrepeatable request goes out again after %s", a.Ending)
+			t.Fatalf("an unrepeatable request is retried after %s", a.Ending)
 		}
 		if v.Action == request.Refuse && a.Tainted {
 			t.Fatalf("refused as not run after %s", a.Ending)
@@ -35,7 +36,7 @@
 			t.Fatalf("refused with %s", v.Code)
 		}
 		if v.Action == request.Finish && a.Ending != request.EndedWhole {
-			t.Fatalf("whole after %s", a.Ending)
+			t.Fatalf("complete after %s", a.Ending)
 		}
 		if v.Action == request.GiveUp && v.Code.Ran() == code.NotRun {
 			t.Fatalf("given up with %s", v.Code)
@@ -46,12 +47,12 @@
 func TestTriage(t *testing.T) {
 	deadline := start.Add(2 * time.Second)
 	stakes := []request.Stake{
-		{Context: 500, Left: 50, Rate: 100},                // done in half a second
-		{Context: 4000, Left: 1000, Rate: 100},             // dear
-		{Context: 60000, Left: 1000, Rate: 100},            // too dear for the bandwidth
-		{Context: 50, Left: 1000, Rate: 100},               // cheap
-		{Context: 4000, Left: 1000, Rate: 1, Pinned: true}, // may not move
-		{Context: 700}, // nothing known of its end
+		{Context: 500, Left: 50, Rate: 100},                // finishes in half a second
+		{Context: 4000, Left: 1000, Rate: 100},             // a large context
+		{Context: 60000, Left: 1000, Rate: 100},            // too large for the bandwidth
+		{Context: 50, Left: 1000, Rate: 100},               // a small context
+		{Context: 4000, Left: 1000, Rate: 1, Pinned: true}, // must not move
+		{Context: 700}, // remaining tokens unknown
 	}
 	moves := request.Triage(start, deadline, stakes, request.MoveParams{Policy: request.MoveOurs, Transfer: 20000})
 	var kinds []string
@@ -59,7 +60,7 @@
 		kinds = append(kinds, m.Kind.String())
 		if m.Kind != request.StayAndFinish {
 			assert.False(t, m.At.Before(start))
-			assert.Less(t, m.At.Sub(start), time.Second+time.Millisecond, "time is left to begin again")
+			assert.Less(t, m.At.Sub(start), time.Second+time.Millisecond, "time is left to start elsewhere")
 		}
 	}
 	assert.Equal(t, []string{"finish", "export", "resume", "resume", "finish", "export"}, kinds)
@@ -70,7 +71,7 @@
 	c := request.Idle
 	changes := 0
 	for i := range 100 {
-		next := request.ClassOf(c, 12-i%2, 16) // around the bound of busy
+		next := request.ClassOf(c, 12-i%2, 16) // around the threshold of busy
 		if next != c {
 			changes++
 		}
@@ -91,7 +92,7 @@
 		case err != nil && code.Of(err) != code.BadBody && code.Of(err) != code.NotSupported:
 			t.Fatal(err)
 		case err == nil && (name == "" || m.Max < 0):
-			t.Fatalf("taken: %q", body)
+			t.Fatalf("accepted: %q", body)
 		}
 	})
 }
--- a/request/print_test.go
+++ b/request/print_test.go
@@ -11,8 +11,8 @@
 	"streambend.example/request"
 )
 
-// A print is of what is asked for and by which team; what differs from one try of a caller
-// to the next is not in it.
+// The fingerprint of a request covers its content and its team, but nothing that differs between a
+// caller's retries.
 func TestAPrintIsOfWhatIsAskedFor(t *testing.T) {
 	ask := func(change func(r *request.Request)) crash.Print {
 		r := &request.Request{ID: "id-1", Team: "team", Method: "POST", Path: "/p/?q=1", Body: []byte("body"), Relay: &request.Relay{Host: "host"}}
--- a/request/server_test.go
+++ b/request/server_test.go
@@ -24,7 +24,7 @@
 	"streambend.example/version"
 )
 
-// office is three servers before the same engines.
+// office runs request servers in front of the same engines.
 type office struct {
 	net     *standin.Net
 	table   *standin.Memory
@@ -49,7 +49,7 @@
 	return o
 }
 
-// start starts a server, and ends the one of that name before it.
+// start starts a server, and first stops the running one of the same name.
 func (o *office) start(name string) *request.Server {
 	o.kill(name)
 	o.starts++
@@ -170,7 +170,8 @@
 	}).Draw(t, "fault")
 }
 
-// TestAnswersAreWholeWhateverEnginesDo gives engines any faults, all but one.
+// TestAnswersAreWholeWhateverEnginesDo checks that answers are complete while all engines but one may
+// have any fault.
 func TestAnswersAreWholeWhateverEnginesDo(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		faults := []standin.EngineFault{{}}
@@ -195,8 +196,8 @@
 	})
 }
 
-// TestSlowEngineIsEjectedAndLetBackIn gives one of four engines a tenth of the
-// speed, and later its own again.
+// TestSlowEngineIsEjectedAndLetBackIn runs one of four engines at a tenth of its
+// speed, and later at full speed again.
 func TestSlowEngineIsEjectedAndLetBackIn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		o := newOffice([]standin.EngineFault{{SlowTimes: 10}, {}, {}, {}})
@@ -222,7 +223,7 @@
 	})
 }
 
-// claimStep is one step of a script around unrepeatable requests.
+// claimStep is one step of a test script with unrepeatable requests.
 type claimStep struct {
 	Do    string
 	Key   int
@@ -244,10 +245,10 @@
 	}
 })
 
-// claimOracle knows what has become of each key.
+// claimOracle checks the answer of each call against the runs that engines recorded.
 type claimOracle struct {
 	o     *office
-	lost  bool // a server that may have run something was started again
+	lost  bool // a server that may have run a request was restarted
 	wrong []string
 }
 
@@ -258,17 +259,17 @@
 	after := c.o.ledger.Begun(id)
 	switch {
 	case after > 1:
-		c.wrong = append(c.wrong, fmt.Sprintf("%s began %d times", id, after))
+		c.wrong = append(c.wrong, fmt.Sprintf("%s started %d times", id, after))
 	case err == nil && text != want(id):
 		c.wrong = append(c.wrong, fmt.Sprintf("%s answered %q", id, text))
 	case code.Of(err) == code.ClaimStore && c.lost:
-		// Only a daemon that is gone knew that an earlier call had run; this
-		// call was not.
+		// Only a daemon that has ended knew that an earlier call had run; this call
+		// has not.
 		if after > before {
 			c.wrong = append(c.wrong, fmt.Sprintf("%s: %v, but it ran now", id, err))
 		}
 	case err != nil && code.Of(err) != code.StillRunning && code.Of(err).Ran() == code.NotRun && after > 0:
-		c.wrong = append(c.wrong, fmt.Sprintf("%s: %v, but it began (%d before)", id, err, before))
+		c.wrong = append(c.wrong, fmt.Sprintf("%s: %v, but it started (%d times before)", id, err, before))
 	case err == nil && after == 0:
 		c.wrong = append(c.wrong, fmt.Sprintf("%s answered without a run", id))
 	}
@@ -299,9 +300,9 @@
 	}
 }
 
-// TestUnrepeatableRunsAtMostOnce lets three daemons, which are started again
-// at will, get the same keys while the table is down, loses answers, or is
-// well, and the engine refuses or cuts.
+// TestUnrepeatableRunsAtMostOnce sends requests with the same keys to three daemons
+// that restart at random, while the table is down, loses answers or works, and the
+// engine refuses requests or cuts answers off.
 func TestUnrepeatableRunsAtMostOnce(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		script := rapid.SliceOfN(claimSteps, 5, 25).Draw(rt, "script")
