--- a/request/attempt.go
+++ b/request/attempt.go
@@ -22,11 +22,11 @@
 // routeWait is the interval at which a request without an endpoint retries routing.
 const routeWait = 50 * time.Millisecond
 
-// takeUpWait is how long a request that has been started waits for an endpoint to continue at,
+// resumeRouteWait is how long a request that has been started waits for an endpoint to continue at,
 // instead of RouteWait. An endpoint is ejected for one second after failures and callers tolerate a
 // pause of two; without this wait, 30 of 30 streams were lost whose endpoint ended while the others
 // were ejected.
-const takeUpWait = 1200 * time.Millisecond
+const resumeRouteWait = 1200 * time.Millisecond
 
 // cacheKey returns the key by which engines group the KV cache blocks of a prefix.
 func cacheKey(prefix uint64) string { return strconv.FormatUint(prefix, 36) }
@@ -40,25 +40,25 @@
 	return p
 }
 
-// relayService is the time for which a stream is assumed to hold its slot at an engine.
-const relayService = 1500 * time.Millisecond
+// relaySlotTime is the time for which a stream is assumed to hold its slot at an engine.
+const relaySlotTime = 1500 * time.Millisecond
 
-// draw returns the hash from which the next attempt's random choices derive: of the
+// attemptHash returns the hash from which the next attempt's random choices derive: of the
 // request's id and the number of attempts so far.
-func (r *run) draw() uint64 {
+func (r *run) attemptHash() uint64 {
 	return mix(xxhash.Sum64String(r.r.ID), uint64(r.attempts+1))
 }
 
 // need returns the routing requirements of this request.
 func (r *run) need(now time.Time) Need {
-	n := Need{At: now, Plain: !r.r.IsModel(), Avoid: r.avoid, Weigh: r.r.Service.Weigh, Policy: r.opts.Route, Settled: r.r.Unrepeatable, Draw: r.draw(), Without: r.opts.Without}
+	n := Need{At: now, Plain: !r.r.IsModel(), Avoid: r.avoid, Weigh: r.r.Service.Weigh, Policy: r.opts.Route, Settled: r.r.Unrepeatable, Draw: r.attemptHash(), Without: r.opts.Without}
 	if n.Plain {
 		return n
 	}
 	n.Prefix, n.Prompt = r.r.Prefix(), r.r.PromptTokens()
 	if x := r.r.Relay; x != nil {
 		n.Homes = r.opts.Homes != nil && r.opts.Homes()
-		n.Parts, n.Pause, n.Service = x.Parts, x.Pause, relayService
+		n.Parts, n.Pause, n.Service = x.Parts, x.Pause, relaySlotTime
 	}
 	n.PrefillRate = r.work.Speed.Prefill()
 	if n.Service == 0 {
@@ -71,14 +71,14 @@
 func (r *run) route(ctx context.Context) (Choice, *code.Error) {
 	until := r.r.Arrived.Add(r.opts.RouteWait)
 	if r.life.Tainted { // otherwise it can be refused at once as not run
-		until = r.Now().Add(takeUpWait)
+		until = r.Now().Add(resumeRouteWait)
 	}
 	for {
 		now := r.Now()
 		current, listed := r.opts.listed(now) // read before the choice, so that it does not belong to a newer list
 		c, ok := Choice{}, false
 		if listed {
-			c, ok = r.choose(now)
+			c, ok = r.chooseEndpoint(now)
 			c.Until = current
 		}
 		if err := r.overloaded(c); ok && err != nil {
@@ -123,8 +123,8 @@
 	return code.New(code.NoEndpoint, text, r.work.Pool.Service).After(time.Second)
 }
 
-// leastAfter is the minimum Retry-After of a request refused for overload.
-const leastAfter = 400 * time.Millisecond
+// minOverloadRetryAfter is the minimum Retry-After of a request refused for overload.
+const minOverloadRetryAfter = 400 * time.Millisecond
 
 // overloaded returns an error for a request that has not run anywhere if even the
 // engine with the shortest prefill backlog would start it later than its wait limit.
@@ -135,10 +135,10 @@
 		return nil
 	}
 	return code.New(code.Overloaded, "expected wait of %s exceeds the limit of %s", max(c.Wait, c.Place).Round(time.Millisecond), x.WaitLimit).
-		After(max(leastAfter, c.Wait))
+		After(max(minOverloadRetryAfter, c.Wait))
 }
 
-func (r *run) choose(now time.Time) (Choice, bool) {
+func (r *run) chooseEndpoint(now time.Time) (Choice, bool) {
 	n := r.need(now)
 	if p := r.prefer; p != nil {
 		r.prefer = nil
@@ -169,7 +169,7 @@
 	defer c.Target.End(f)
 	now := r.opts.look()
 	if !c.Until.IsZero() && !now.Before(c.Until) {
-		return EndedUnsent, errOldList // the box was suspended after the choice
+		return EndedUnsent, errStaleList // the box was suspended after the choice
 	}
 	if r.barred(now, c.Target) {
 		return EndedUnsent, errBarred
@@ -182,7 +182,7 @@
 		// this attempt, and a leaving endpoint gets no new requests.
 		return EndedUnsent, errors.New("request: endpoint is leaving")
 	}
-	r.life.on(eventSend)
+	r.life.apply(eventSend)
 	r.started, r.expected, r.first, r.events, r.ownFailure = r.Now(), c.First, 0, 0, false
 	var ending Ending
 	var err error
@@ -194,7 +194,7 @@
 	default:
 		ending, err = r.attemptPlain(ctx, c)
 	}
-	if ending == EndedWhole {
+	if ending == EndedComplete {
 		return ending, nil
 	}
 	if prefer, restart, cut := f.wasCut(); cut {
@@ -204,8 +204,8 @@
 	return ending, err
 }
 
-// endingOf returns the outcome of a call that returned err.
-func (r *run) endingOf(err error) Ending {
+// classifyError returns the outcome of a call that returned err.
+func (r *run) classifyError(err error) Ending {
 	var f *conn.Failure
 	if !errors.As(err, &f) {
 		return EndedBroken
@@ -223,11 +223,11 @@
 
 var errSilent = errors.New("request: endpoint sent no data in time")
 
-// watch returns a timer that cancels an attempt whose endpoint sends no data. An
+// startSilenceTimer returns a timer that cancels an attempt whose endpoint sends no data. An
 // endpoint that reports itself as full gets more time: its queue is long, and a
 // retry elsewhere would add load. An unrepeatable request cannot be retried and
 // waits until its deadline.
-func (r *run) watch(t *Target, cancel context.CancelCauseFunc) *time.Timer {
+func (r *run) startSilenceTimer(t *Target, cancel context.CancelCauseFunc) *time.Timer {
 	if r.r.Unrepeatable {
 		return time.AfterFunc(max(r.r.Deadline.Sub(r.Now()), clock.LeastTimer), func() { cancel(errSilent) })
 	}
@@ -259,14 +259,14 @@
 	}
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	dog := r.watch(c.Target, cancel)
+	dog := r.startSilenceTimer(c.Target, cancel)
 	defer dog.Stop()
 	h := http.Header{"Content-Type": {"application/json"}, "X-Request-Id": {attempt}}
 	st, err := r.Client.Open(ctx, conn.Call{
 		Address: c.Target.Address, Method: http.MethodPost, Path: path, Header: h, Body: body, Unrepeatable: r.r.Unrepeatable,
 	})
 	if err != nil {
-		return r.endingOf(err), err
+		return r.classifyError(err), err
 	}
 	defer st.Close()
 	return r.read(c, st, dog, prefix, len(emitted))
@@ -280,7 +280,7 @@
 		if err != nil {
 			if r.a.full() {
 				r.well = true
-				return EndedWhole, nil
+				return EndedComplete, nil
 			}
 			return EndedBroken, err
 		}
@@ -290,7 +290,7 @@
 		}
 		if ch.Done {
 			r.well = true
-			return EndedWhole, nil
+			return EndedComplete, nil
 		}
 		if !r.r.Unrepeatable {
 			dog.Reset(r.opts.Stall)
@@ -300,15 +300,15 @@
 		}
 		if first && len(ch.Tokens) > 0 {
 			first = false
-			r.firstToken(now, c, had)
+			r.recordFirstToken(now, c, had)
 		}
 	}
 }
 
-// firstToken records the time to the first token, less the expected prefill time, as
+// recordFirstToken records the time to the first token, less the expected prefill time, as
 // a sample for the adaptive concurrency limit.
-func (r *run) firstToken(now time.Time, c Choice, had int) {
-	r.life.on(eventStream)
+func (r *run) recordFirstToken(now time.Time, c Choice, had int) {
+	r.life.apply(eventStream)
 	if r.opts.NoLimit {
 		return
 	}
@@ -326,14 +326,14 @@
 	attempt := r.newAttempt()
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	dog := r.watch(c.Target, cancel)
+	dog := r.startSilenceTimer(c.Target, cancel)
 	defer dog.Stop()
 	ans, err := r.Client.Do(ctx, conn.Call{
 		Address: c.Target.Address, Method: r.r.Method, Path: r.r.Path, Header: r.r.forward(attempt),
 		Body: r.r.Body, Unrepeatable: r.r.Unrepeatable,
 	})
 	if err != nil {
-		return r.endingOf(err), err
+		return r.classifyError(err), err
 	}
 	if slices.Contains(r.r.Service.NotRunStatuses, ans.Status) {
 		return EndedRefused, &conn.Failure{Sent: true, Status: ans.Status}
@@ -348,5 +348,5 @@
 	}
 	r.well = ans.Status < http.StatusMultipleChoices
 	r.a.takePlain(ans)
-	return EndedWhole, nil
+	return EndedComplete, nil
 }
--- a/request/life.go
+++ b/request/life.go
@@ -32,13 +32,13 @@
 	eventAccept   = "accept"
 	eventClaim    = "claim"
 	eventSend     = "send"
-	eventUnsend   = "unsend" // the endpoint was not reached or did not start the request
+	eventUndoSend   = "unsend" // the endpoint was not reached or did not start the request
 	eventStream   = "stream"
 	eventMove     = "move"
 	eventComplete = "complete"
 	eventLate     = "late"
 	eventRefuse   = "refuse" // refused as not run
-	eventLose     = "lose"   // the outcome is unknown
+	eventLoseOutcome     = "lose"   // the outcome is unknown
 )
 
 // lifeEvents are the transitions of a Life. A refusal as "not run" is possible
@@ -49,13 +49,13 @@
 	{Name: eventAccept, Src: []string{StateReceived, StateQueued}, Dst: StateAccepted},
 	{Name: eventClaim, Src: []string{StateAccepted}, Dst: StateClaimed},
 	{Name: eventSend, Src: []string{StateAccepted, StateClaimed, StateMoving}, Dst: StateSent},
-	{Name: eventUnsend, Src: []string{StateSent}, Dst: StateAccepted},
+	{Name: eventUndoSend, Src: []string{StateSent}, Dst: StateAccepted},
 	{Name: eventStream, Src: []string{StateSent}, Dst: StateStreaming},
 	{Name: eventMove, Src: []string{StateSent, StateStreaming}, Dst: StateMoving},
 	{Name: eventComplete, Src: []string{StateSent, StateStreaming}, Dst: StateComplete},
 	{Name: eventLate, Src: []string{StateSent, StateStreaming}, Dst: StateLate},
 	{Name: eventRefuse, Src: []string{StateReceived, StateQueued, StateAccepted, StateClaimed}, Dst: StateRefused},
-	{Name: eventLose, Src: []string{StateAccepted, StateSent, StateStreaming, StateMoving}, Dst: StateUnknown},
+	{Name: eventLoseOutcome, Src: []string{StateAccepted, StateSent, StateStreaming, StateMoving}, Dst: StateUnknown},
 }
 
 // Life is the state machine of one request.
@@ -72,23 +72,23 @@
 // State returns the current state.
 func (l *Life) State() string { return l.fsm.Current() }
 
-// on applies an event and reports whether the current state allows it. An event
+// apply applies an event and reports whether the current state allows it. An event
 // that is not allowed is a bug of this package; the request then ends as unknown
 // instead of with a wrong result.
-func (l *Life) on(event string) bool { return l.fsm.Event(context.Background(), event) == nil }
+func (l *Life) apply(event string) bool { return l.fsm.Event(context.Background(), event) == nil }
 
 // Ending is the outcome of an attempt.
 type Ending int
 
 // The outcomes of an attempt.
 const (
-	EndedWhole   Ending = iota // the answer is complete
+	EndedComplete   Ending = iota // the answer is complete
 	EndedMoved                 // cancelled by this daemon, to continue at another endpoint
 	EndedUnsent                // no byte can have reached the endpoint
 	EndedRefused               // the endpoint reported that it did not start the request
 	EndedBroken                // cut off, stalled, truncated or malformed
 	EndedError                 // the endpoint answered with an error
-	EndedGone                  // the caller disconnected
+	EndedCallerGone                  // the caller disconnected
 )
 
 // String returns the name of the outcome.
@@ -134,15 +134,15 @@
 func Classify(now time.Time, a Aftermath) Verdict {
 	late := !now.Before(a.GiveUpAt)
 	switch a.Ending {
-	case EndedWhole:
+	case EndedComplete:
 		return Verdict{Action: Finish, Code: code.OK}
 	case EndedUnsent, EndedRefused:
-		free := a.Strict && a.Ending == EndedUnsent // nothing reached an endpoint
-		if (a.Budget || free) && !late && !a.Spent {
-			return Verdict{Action: Again, Spend: !free}
+		uncharged := a.Strict && a.Ending == EndedUnsent // nothing reached an endpoint
+		if (a.Budget || uncharged) && !late && !a.Spent {
+			return Verdict{Action: Again, Spend: !uncharged}
 		}
 		if !a.Tainted {
-			return Verdict{Action: Refuse, Code: refusal(late)}
+			return Verdict{Action: Refuse, Code: refusalCode(late)}
 		}
 	case EndedMoved:
 		if !a.Unrepeatable && !late {
@@ -152,8 +152,8 @@
 		// Unless the budget is strict, an accepted request is not given up when the
 		// retry budget is empty. It only backs off for longer, so that many failures
 		// at once do not multiply the load.
-		held := a.Strict && !a.Budget
-		if !a.Unrepeatable && !late && !a.Spent && !held {
+		denied := a.Strict && !a.Budget
+		if !a.Unrepeatable && !late && !a.Spent && !denied {
 			return Verdict{Action: Again, Spend: true, Pause: !a.Budget}
 		}
 	case EndedError:
@@ -169,7 +169,7 @@
 	}
 }
 
-func refusal(late bool) code.Code {
+func refusalCode(late bool) code.Code {
 	if late {
 		return code.DeadlineTooNear
 	}
--- a/request/life_test.go
+++ b/request/life_test.go
@@ -18,7 +18,7 @@
 func TestClassifyNeverAllowsASecondRun(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a := request.Aftermath{
-			Ending:       request.Ending(rapid.IntRange(int(request.EndedWhole), int(request.EndedGone)).Draw(t, "ending")),
+			Ending:       request.Ending(rapid.IntRange(int(request.EndedComplete), int(request.EndedCallerGone)).Draw(t, "ending")),
 			Unrepeatable: rapid.Bool().Draw(t, "unrepeatable"),
 			Budget:       rapid.Bool().Draw(t, "budget"),
 			GiveUpAt:     start.Add(time.Duration(rapid.IntRange(-5, 5).Draw(t, "left")) * time.Second),
@@ -35,7 +35,7 @@
 		if v.Action == request.Refuse && v.Code.Ran() != code.NotRun {
 			t.Fatalf("refused with %s", v.Code)
 		}
-		if v.Action == request.Finish && a.Ending != request.EndedWhole {
+		if v.Action == request.Finish && a.Ending != request.EndedComplete {
 			t.Fatalf("complete after %s", a.Ending)
 		}
 		if v.Action == request.GiveUp && v.Code.Ran() == code.NotRun {
--- a/request/relay.go
+++ b/request/relay.go
@@ -109,7 +109,7 @@
 	errOtherAnswer = errors.New("request: answer belongs to another request")
 	errUnsigned    = errors.New("request: answer is not signed by the endpoint")
 	errOrder       = errors.New("request: stream event missing or duplicated")
-	errOldList     = errors.New("request: endpoint list became too old before the endpoint was reached")
+	errStaleList     = errors.New("request: endpoint list became too old before the endpoint was reached")
 	errLate        = errors.New("request: deadline exceeded")
 	errCaller      = errors.New("request: writing to the caller failed")
 )
@@ -138,7 +138,7 @@
 	})
 	if err != nil {
 		c.Target.Dropped(r.Now(), mark)
-		return r.endingOf(err), because(ctx, err)
+		return r.classifyError(err), because(ctx, err)
 	}
 	defer resp.Body.Close()
 	head := x.Codec.Read(resp.StatusCode, resp.Header)
@@ -235,7 +235,7 @@
 	if until.IsZero() {
 		until = r.r.Deadline
 	}
-	return time.AfterFunc(max(until.Sub(r.Now()), clock.LeastTimer), func() { cancel(errOldList) })
+	return time.AfterFunc(max(until.Sub(r.Now()), clock.LeastTimer), func() { cancel(errStaleList) })
 }
 
 // because returns the cause of the context's cancellation if an attempt failed for it, else the
@@ -288,7 +288,7 @@
 	}
 	r.well = resp.StatusCode < http.StatusMultipleChoices
 	x.write(resp.StatusCode, resp.Header, body)
-	return EndedWhole, nil
+	return EndedComplete, nil
 }
 
 // write sends a complete answer to the caller.
@@ -330,7 +330,7 @@
 				now := r.Now()
 				r.work.Pool.Held(x.OutTokens, now.Sub(r.started)-r.first, c.Target.ReadingDone(now)-readBefore)
 			}
-			return EndedWhole, nil
+			return EndedComplete, nil
 		}
 		if err != nil {
 			return EndedBroken, &conn.Failure{Sent: true, Err: err}
@@ -345,7 +345,7 @@
 				x.Measured(r.first, r.expected)
 			}
 			x.begun(now)
-			r.life.on(eventStream)
+			r.life.apply(eventStream)
 			c.Target.Begun(now, mark)
 			readBefore = c.Target.ReadingDone(now)
 		}
--- a/request/server.go
+++ b/request/server.go
@@ -236,7 +236,7 @@
 		return
 	}
 	defer func() { r.work.Queue.Leave(r.Now(), &r.ticket) }()
-	r.life.on(eventAccept)
+	r.life.apply(eventAccept)
 	r.Count.Accepted.Add(1)
 	r.work.Budget.First(r.Now())
 	if done := r.takeClaim(ctx); done {
@@ -266,7 +266,7 @@
 // admit waits until the service's queue admits the request.
 func (r *run) admit(ctx context.Context) *code.Error {
 	now := r.Now()
-	r.life.on(eventQueue)
+	r.life.apply(eventQueue)
 	if err := r.heldBack(ctx); err != nil {
 		return err
 	}
@@ -335,7 +335,7 @@
 		r.refuse(code.New(code.ClaimStore, "the table is unavailable").After(2 * time.Second))
 	case c.State == ClaimTaken:
 		r.claim, r.claimed = c, true
-		r.life.on(eventClaim)
+		r.life.apply(eventClaim)
 		return false
 	case c.Row.Body != body:
 		r.refuse(code.New(code.KeyReused, "the key was used before with another body"))
@@ -353,14 +353,14 @@
 
 // refuse ends the request as not run.
 func (r *run) refuse(err *code.Error) {
-	refused := !r.life.Tainted && r.life.on(eventRefuse)
+	refused := !r.life.Tainted && r.life.apply(eventRefuse)
 	if refused {
 		r.unsent()
 		r.Count.Refused.Add(1)
 	} else {
 		// Something has been sent, so "not run" would be wrong.
 		err = code.New(code.UnknownOutcome, "%s", err.Message)
-		r.life.on(eventLose)
+		r.life.apply(eventLoseOutcome)
 		r.Count.Unknown.Add(1)
 	}
 	r.logEnd(r.Now(), err)
@@ -385,7 +385,7 @@
 	if r.r.Unrepeatable && err.Code != code.EndpointAnswer {
 		err = code.New(code.UnknownOutcome, "%s", err.Message)
 	}
-	r.life.on(eventLose)
+	r.life.apply(eventLoseOutcome)
 	r.Count.Unknown.Add(1)
 	r.logEnd(r.Now(), err)
 	r.a.settle(err)
--- a/request/settle.go
+++ b/request/settle.go
@@ -27,8 +27,8 @@
 // settle processes the outcome of an attempt and reports whether the request has ended.
 func (r *run) settle(ctx context.Context, t *Target, e Ending, failure error) bool {
 	now := r.Now()
-	if ctx.Err() != nil && e != EndedWhole {
-		e = EndedGone
+	if ctx.Err() != nil && e != EndedComplete {
+		e = EndedCallerGone
 	}
 	if e != EndedUnsent && e != EndedRefused {
 		r.life.Tainted = true
@@ -37,7 +37,7 @@
 		r.Count.CutOff.Add(1)
 		r.ends.closed(r.alive, t, crash.Flight{Print: r.print, For: now.Sub(r.started)})
 	}
-	if !errors.Is(failure, errOldList) && !errors.Is(failure, errBarred) {
+	if !errors.Is(failure, errStaleList) && !errors.Is(failure, errBarred) {
 		r.note(now, t, e)
 	}
 	r.noteTrial(now, t, e, failure)
@@ -58,7 +58,7 @@
 	case Finish:
 		r.complete(now)
 	case Refuse:
-		r.life.on(eventUnsend)
+		r.life.apply(eventUndoSend)
 		r.refuse(code.New(v.Code, "%v", failure).After(time.Second))
 	case GiveUp:
 		r.giveUp(ctx, v.Code, failure)
@@ -90,7 +90,7 @@
 // note reports the outcome of an attempt to the target and to the concurrency limit.
 func (r *run) note(now time.Time, t *Target, e Ending) {
 	switch e {
-	case EndedWhole:
+	case EndedComplete:
 		// Recorded at the end of the answer, not at its first token: an endpoint that
 		// starts every answer and completes none would never be ejected.
 		t.Succeed()
@@ -131,9 +131,9 @@
 func (r *run) again(ctx context.Context, e Ending, v Verdict, t *Target) {
 	switch e {
 	case EndedUnsent, EndedRefused:
-		r.life.on(eventUnsend)
+		r.life.apply(eventUndoSend)
 	default:
-		r.life.on(eventMove)
+		r.life.apply(eventMove)
 	}
 	r.avoid = t
 	if !v.Spend {
@@ -150,7 +150,7 @@
 	}
 	select {
 	case <-ctx.Done():
-	case <-time.After(backoff/2 + time.Duration(pick(r.draw(), int(backoff)/2+1))):
+	case <-time.After(backoff/2 + time.Duration(pick(r.attemptHash(), int(backoff)/2+1))):
 	}
 }
 
@@ -177,7 +177,7 @@
 	} else {
 		r.Count.Complete.Add(1)
 	}
-	r.life.on(event)
+	r.life.apply(event)
 	r.logEnd(now, nil)
 	if r.r.Relay != nil && r.r.Relay.Streaming {
 		r.a.settle(nil)
--- a/request/trial.go
+++ b/request/trial.go
@@ -194,7 +194,7 @@
 	}
 	var f *conn.Failure
 	switch {
-	case e == EndedWhole:
+	case e == EndedComplete:
 		a.Failed = !r.well
 	case errors.Is(failure, errSilent):
 		a.Silent = true
