--- a/request/attempt.go
+++ b/request/attempt.go
@@ -183,7 +183,7 @@
 		return EndedUnsent, errors.New("request: endpoint is leaving")
 	}
 	r.life.apply(eventSend)
-	r.started, r.expected, r.first, r.events, r.ownFailure = r.Now(), c.First, 0, 0, false
+	r.started, r.expected, r.first, r.events, r.signedFailure = r.Now(), c.First, 0, 0, false
 	var ending Ending
 	var err error
 	switch {
@@ -249,7 +249,7 @@
 
 // attemptModel streams an answer from an engine.
 func (r *run) attemptModel(ctx context.Context, c Choice) (Ending, error) {
-	attempt := r.newAttempt()
+	attempt := r.nextAttemptID()
 	prompt, emitted := r.a.begin(attempt, r.restart)
 	r.restart = false
 	prefix := r.r.Prefix()
@@ -279,7 +279,7 @@
 		ch, err := st.Next()
 		if err != nil {
 			if r.a.full() {
-				r.well = true
+				r.succeeded = true
 				return EndedComplete, nil
 			}
 			return EndedBroken, err
@@ -289,7 +289,7 @@
 			return EndedBroken, err
 		}
 		if ch.Done {
-			r.well = true
+			r.succeeded = true
 			return EndedComplete, nil
 		}
 		if !r.r.Unrepeatable {
@@ -323,7 +323,7 @@
 
 // attemptPlain calls a plain service and reads the complete answer.
 func (r *run) attemptPlain(ctx context.Context, c Choice) (Ending, error) {
-	attempt := r.newAttempt()
+	attempt := r.nextAttemptID()
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	dog := r.startSilenceTimer(c.Target, cancel)
@@ -346,7 +346,7 @@
 		running, _ := r.work.Queue.State()
 		r.work.Queue.Limit.Sample(r.Now(), r.Now().Sub(r.started), running)
 	}
-	r.well = ans.Status < http.StatusMultipleChoices
+	r.succeeded = ans.Status < http.StatusMultipleChoices
 	r.a.takePlain(ans)
 	return EndedComplete, nil
 }
--- a/request/holds.go
+++ b/request/holds.go
@@ -94,11 +94,11 @@
 func (r *run) heldBack(ctx context.Context) *code.Error {
 	now := r.Now()
 	v, held := r.Holds.Ledger.Held(now, r.print)
-	if !held || r.trial && !r.life.Tainted {
+	if !held || r.holdTrial && !r.life.Tainted {
 		return nil
 	}
 	if v.Due(now) && !r.life.Tainted && r.Holds.claim(ctx, now, v) {
-		r.trial = true
+		r.holdTrial = true
 		return nil
 	}
 	return code.New(code.CrashesEndpoints, "%d endpoints have crashed while running it", v.Ends).After(max(v.Back().Sub(now), trialTakes))
--- a/request/notice.go
+++ b/request/notice.go
@@ -69,7 +69,7 @@
 // awaitPrompt returns the stream's content as soon as the engine has reported the
 // token ids of the prompt, or after half of the notice period.
 func (s *Server) awaitPrompt(f *Flight, now, deadline time.Time) Snapshot {
-	ctx, cancel := context.WithTimeout(s.alive, deadline.Sub(now)/2)
+	ctx, cancel := context.WithTimeout(s.baseCtx, deadline.Sub(now)/2)
 	defer cancel()
 	changed, stop := f.answer.Follow()
 	defer stop()
@@ -97,7 +97,7 @@
 		f.Cut(nil, false)
 		return
 	}
-	ctx, cancel := context.WithTimeout(s.alive, deadline.Sub(s.Now()))
+	ctx, cancel := context.WithTimeout(s.baseCtx, deadline.Sub(s.Now()))
 	defer cancel()
 	err := s.Client.ImportKV(ctx, c.Target.Address, t.Address, "move", append(snap.Prompt, snap.Tokens...))
 	if err != nil {
--- a/request/relay.go
+++ b/request/relay.go
@@ -204,7 +204,7 @@
 // the request would be lost.
 func (r *run) watchRelay(c Choice, cancel context.CancelCauseFunc) watchdog {
 	x := r.r.Relay
-	if r.r.Unrepeatable || r.runs+1 >= x.Attempts || !r.opts.Without.On(mechanism.SilenceWatch) {
+	if r.r.Unrepeatable || r.startedAttempts+1 >= x.Attempts || !r.opts.Without.On(mechanism.SilenceWatch) {
 		return watchdog{}
 	}
 	wait := max(r.r.Route.Target.Duration, answerLeast) + c.First
@@ -217,7 +217,7 @@
 			return
 		}
 		if r.work.Budget.TakeSpare(r.Now()) {
-			r.prepaid.Store(true)
+			r.retryCharged.Store(true)
 			cancel(errSilent)
 			return
 		}
@@ -277,7 +277,7 @@
 	x.begun(r.started)
 	if resp.StatusCode >= http.StatusInternalServerError {
 		x.failed = &failedAnswer{resp.StatusCode, resp.Header, body}
-		r.ownFailure = head.Signed
+		r.signedFailure = head.Signed
 		if !head.Signed {
 			x.failed = nil
 		}
@@ -286,7 +286,7 @@
 		}
 		return EndedBroken, &conn.Failure{Sent: true, Status: resp.StatusCode}
 	}
-	r.well = resp.StatusCode < http.StatusMultipleChoices
+	r.succeeded = resp.StatusCode < http.StatusMultipleChoices
 	x.write(resp.StatusCode, resp.Header, body)
 	return EndedComplete, nil
 }
@@ -324,8 +324,8 @@
 			if !x.head {
 				x.writeHead(resp.StatusCode, resp.Header)
 			}
-			r.well = count > 0
-			if r.runs == 0 {
+			r.succeeded = count > 0
+			if r.startedAttempts == 0 {
 				r.work.Pool.cost.LearnEvents(x.Guess, count)
 				now := r.Now()
 				r.work.Pool.Held(x.OutTokens, now.Sub(r.started)-r.first, c.Target.ReadingDone(now)-readBefore)
--- a/request/server.go
+++ b/request/server.go
@@ -53,12 +53,12 @@
 	Holds  *Holds
 
 	ends   ends
-	asleep sleepers
+	active activeRuns
 	opts   Options
 	log    *logrus.Entry
 	kept   keptAnswers
 	wg     sync.WaitGroup
-	alive  context.Context
+	baseCtx  context.Context
 	kill   context.CancelFunc
 }
 
@@ -78,9 +78,9 @@
 // NewServer returns a server. Kill cancels all its requests.
 func NewServer(o Options, client *conn.Client, claims *Claims, peers Peers, log *logrus.Logger) *Server {
 	s := &Server{Works: newWorks(o), Client: client, Claims: claims, Peers: peers, opts: o, log: log.WithField("part", "request")}
-	s.alive, s.kill = context.WithCancel(context.Background())
+	s.baseCtx, s.kill = context.WithCancel(context.Background())
 	s.kept.init(o)
-	s.Holds = newHolds(s.alive, &s.opts, log.WithField("part", "crash"))
+	s.Holds = newHolds(s.baseCtx, &s.opts, log.WithField("part", "crash"))
 	s.Holds.gone = s.endpointEnded
 	s.ends = ends{client: client, now: s.Now, log: s.Holds.log, report: s.Holds.ended}
 	return s
@@ -130,7 +130,7 @@
 			a.mu.Unlock()
 		}
 	}
-	s.start(s.alive, r, a, func() { s.kept.finish(s.Now(), name) })
+	s.start(s.baseCtx, r, a, func() { s.kept.finish(s.Now(), name) })
 	return a, nil
 }
 
@@ -141,10 +141,10 @@
 	defer s.wg.Done()
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	defer context.AfterFunc(s.alive, cancel)()
+	defer context.AfterFunc(s.baseCtx, cancel)()
 	a := NewAnswer(r.ID, 0, Snapshot{})
 	run := s.newRun(r, a)
-	defer s.asleep.add(run, cancel)()
+	defer s.active.add(run, cancel)()
 	run.serve(ctx)
 	_, err := a.Ended()
 	return err
@@ -153,7 +153,7 @@
 // start runs a request in its own goroutine.
 func (s *Server) start(ctx context.Context, r *Request, a *Answer, end func()) {
 	ctx, cancel := context.WithCancel(ctx)
-	stop := context.AfterFunc(s.alive, cancel)
+	stop := context.AfterFunc(s.baseCtx, cancel)
 	s.wg.Add(1)
 	go func() {
 		defer s.wg.Done()
@@ -205,10 +205,10 @@
 	work *Work
 
 	print crash.Print
-	trial bool // the request is held back, and this is its trial
-	well  bool // the last attempt returned a complete and successful answer
+	holdTrial bool // the request is held back, and this is its trial
+	succeeded  bool // the last attempt returned a complete and successful answer
 
-	ownFailure bool // the last attempt returned a failure signed by the endpoint
+	signedFailure bool // the last attempt returned a failure signed by the endpoint
 	claim      Claim
 	claimed    bool
 	ticket     Ticket
@@ -216,10 +216,10 @@
 	expected   time.Duration // time to its first event, as predicted; 0 if not known
 	first      time.Duration // time to its first event, as measured; 0 before it
 	events     int           // events of its stream so far
-	drawn      bool          // it is decided whether the request goes to a version on trial
-	prepaid    atomic.Bool   // the next retry has already been charged to the budget
+	trialDecided      bool          // it is decided whether the request goes to a version on trial
+	retryCharged    atomic.Bool   // the next retry has already been charged to the budget
 	attempts   int
-	runs       int // attempts that an endpoint may have started
+	startedAttempts       int // attempts that an endpoint may have started
 	avoid      *Target
 	prefer     *Target
 	restart    bool
@@ -257,7 +257,7 @@
 			return
 		}
 		ending, failure := r.attempt(ctx, choice)
-		if r.settle(ctx, choice.Target, ending, failure) {
+		if r.finishAttempt(ctx, choice.Target, ending, failure) {
 			return
 		}
 	}
@@ -323,11 +323,11 @@
 			return true
 		}
 	}
-	return r.judgeClaim(ctx, c, body)
+	return r.resolveClaim(ctx, c, body)
 }
 
-// judgeClaim acts on the outcome of a claim and reports whether the request has ended.
-func (r *run) judgeClaim(ctx context.Context, c Claim, body uint64) bool {
+// resolveClaim acts on the outcome of a claim and reports whether the request has ended.
+func (r *run) resolveClaim(ctx context.Context, c Claim, body uint64) bool {
 	switch {
 	case c.State == ClaimDown && (r.Claims.remembered(c.key.Sort) || r.Peers.AnyoneRan(ctx, c.key.Sort)):
 		r.end(ctx, code.New(code.UnknownOutcome, "it was sent before, and the table is unavailable").After(2*time.Second))
@@ -366,7 +366,7 @@
 	r.logEnd(r.Now(), err)
 	r.a.settle(err)
 	if refused && r.claimed {
-		r.Claims.Release(context.WithoutCancel(r.alive), r.claim)
+		r.Claims.Release(context.WithoutCancel(r.baseCtx), r.claim)
 	}
 }
 
@@ -379,7 +379,7 @@
 	if err.Code.Ran() == code.NotRun {
 		err = code.New(code.NotWhole, "%s", err.Message)
 	}
-	if r.alive.Err() != nil {
+	if r.baseCtx.Err() != nil {
 		err = code.New(code.HandedOver, "the daemon is shutting down; send the request again").After(time.Second)
 	}
 	if r.r.Unrepeatable && err.Code != code.EndpointAnswer {
@@ -394,8 +394,8 @@
 // giveUpAt returns the time at which a request is ended even if it is still running.
 func (r *run) giveUpAt() time.Time { return r.r.Deadline.Add(r.opts.Grace) }
 
-// newAttempt counts an attempt and returns its request id.
-func (r *run) newAttempt() string {
+// nextAttemptID counts an attempt and returns its request id.
+func (r *run) nextAttemptID() string {
 	r.attempts++
 	return r.r.ID + "." + uuid.NewString()[:8]
 }
--- a/request/settle.go
+++ b/request/settle.go
@@ -16,16 +16,16 @@
 )
 
 const (
-	retryStep  = 10 * time.Millisecond
-	pauseLeast = 250 * time.Millisecond // base of the backoff once the retry budget is empty
+	backoffStep  = 10 * time.Millisecond
+	longBackoffStep = 250 * time.Millisecond // base of the backoff once the retry budget is empty
 )
 
-// storeTries is the number of attempts to store an answer in the table, with
+// maxStoreAttempts is the number of attempts to store an answer in the table, with
 // exponential backoff between them.
-const storeTries = 8
+const maxStoreAttempts = 8
 
-// settle processes the outcome of an attempt and reports whether the request has ended.
-func (r *run) settle(ctx context.Context, t *Target, e Ending, failure error) bool {
+// finishAttempt processes the outcome of an attempt and reports whether the request has ended.
+func (r *run) finishAttempt(ctx context.Context, t *Target, e Ending, failure error) bool {
 	now := r.Now()
 	if ctx.Err() != nil && e != EndedComplete {
 		e = EndedCallerGone
@@ -35,16 +35,16 @@
 	}
 	if conn.EndpointClosed(failure) || errors.Is(failure, errNewStart) && e == EndedBroken {
 		r.Count.CutOff.Add(1)
-		r.ends.closed(r.alive, t, crash.Flight{Print: r.print, For: now.Sub(r.started)})
+		r.ends.closed(r.baseCtx, t, crash.Flight{Print: r.print, For: now.Sub(r.started)})
 	}
 	if !errors.Is(failure, errStaleList) && !errors.Is(failure, errBarred) {
-		r.note(now, t, e)
+		r.recordOutcome(now, t, e)
 	}
 	r.noteTrial(now, t, e, failure)
 	a := Aftermath{
 		Ending: e, Unrepeatable: r.r.Unrepeatable, Tainted: r.life.Tainted,
-		Budget: r.opts.NoBudget || r.prepaid.Load() || r.work.Budget.Left(now), GiveUpAt: r.giveUpAt(),
-		Strict: r.opts.Retry != nil, Spent: r.spent(e),
+		Budget: r.opts.NoBudget || r.retryCharged.Load() || r.work.Budget.Left(now), GiveUpAt: r.giveUpAt(),
+		Strict: r.opts.Retry != nil, Spent: r.attemptsExhausted(e),
 	}
 	v := r.opts.judge(now, &a)
 	r.life.Tainted = a.Tainted
@@ -63,32 +63,32 @@
 	case GiveUp:
 		r.giveUp(ctx, v.Code, failure)
 	case Again:
-		r.again(ctx, e, v, t)
+		r.prepareRetry(ctx, e, v, t)
 		return false
 	}
 	return true
 }
 
-// moreSends is the number of sends beyond Relay.Attempts allowed to a request
+// extraSends is the number of sends beyond Relay.Attempts allowed to a request
 // that no endpoint has started.
-const moreSends = 2
+const extraSends = 2
 
-// spent counts an attempt that may have run, and reports whether the route's limit of
+// attemptsExhausted counts an attempt that may have run, and reports whether the route's limit of
 // attempts is reached.
-func (r *run) spent(e Ending) bool {
+func (r *run) attemptsExhausted(e Ending) bool {
 	x := r.r.Relay
 	if x == nil {
 		return false
 	}
 	if e == EndedUnsent || e == EndedRefused {
-		return r.attempts >= x.Attempts+moreSends
+		return r.attempts >= x.Attempts+extraSends
 	}
-	r.runs++
-	return r.runs >= x.Attempts
+	r.startedAttempts++
+	return r.startedAttempts >= x.Attempts
 }
 
-// note reports the outcome of an attempt to the target and to the concurrency limit.
-func (r *run) note(now time.Time, t *Target, e Ending) {
+// recordOutcome reports the outcome of an attempt to the target and to the concurrency limit.
+func (r *run) recordOutcome(now time.Time, t *Target, e Ending) {
 	switch e {
 	case EndedComplete:
 		// Recorded at the end of the answer, not at its first token: an endpoint that
@@ -127,8 +127,8 @@
 	return now.Sub(r.a.firstAt()) / time.Duration(n-1), true
 }
 
-// again prepares the next attempt: it charges the retry budget and waits for the backoff.
-func (r *run) again(ctx context.Context, e Ending, v Verdict, t *Target) {
+// prepareRetry prepares the next attempt: it charges the retry budget and waits for the backoff.
+func (r *run) prepareRetry(ctx context.Context, e Ending, v Verdict, t *Target) {
 	switch e {
 	case EndedUnsent, EndedRefused:
 		r.life.apply(eventUndoSend)
@@ -141,12 +141,12 @@
 		return
 	}
 	r.Count.Retries.Add(1)
-	if !r.prepaid.Swap(false) {
+	if !r.retryCharged.Swap(false) {
 		r.work.Budget.Spend(r.Now())
 	}
-	backoff := time.Duration(min(r.attempts, 6)) * retryStep
+	backoff := time.Duration(min(r.attempts, 6)) * backoffStep
 	if v.Pause {
-		backoff = pauseLeast + time.Duration(min(r.attempts, 6))*pauseLeast
+		backoff = longBackoffStep + time.Duration(min(r.attempts, 6))*longBackoffStep
 	}
 	select {
 	case <-ctx.Done():
@@ -167,7 +167,7 @@
 // complete ends the request with a complete answer.
 func (r *run) complete(now time.Time) {
 	r.work.Budget.Earn()
-	if r.well {
+	if r.succeeded {
 		r.Holds.answered(now, r.print)
 	}
 	event := eventComplete
@@ -190,24 +190,24 @@
 	}
 	r.a.settle(nil)
 	if r.claimed {
-		r.store()
+		r.storeAnswer()
 	}
 }
 
-// store stores the answer with its claim. The caller has the answer already; until
+// storeAnswer stores the answer with its claim. The caller has the answer already; until
 // it is stored, repeats of the call are answered as still running.
-func (r *run) store() {
+func (r *run) storeAnswer() {
 	snap := r.a.Snapshot()
-	for try := range storeTries {
-		ctx, cancel := context.WithTimeout(r.alive, 5*time.Second)
+	for try := range maxStoreAttempts {
+		ctx, cancel := context.WithTimeout(r.baseCtx, 5*time.Second)
 		err := r.Claims.Store(ctx, r.claim, snap)
 		cancel()
-		if err == nil || r.alive.Err() != nil {
+		if err == nil || r.baseCtx.Err() != nil {
 			return
 		}
 		r.log.Warnf("claim: storing the answer of %s failed: %v", r.r.ID, err)
 		select {
-		case <-r.alive.Done():
+		case <-r.baseCtx.Done():
 			return
 		case <-time.After(time.Duration(1<<try) * 100 * time.Millisecond):
 		}
--- a/request/trial.go
+++ b/request/trial.go
@@ -139,10 +139,10 @@
 // chooseTrial chooses an endpoint of the version on trial if Trials assigns the request to it. A
 // retry, or a request that would wait too long there, goes to the service's own version.
 func (r *run) chooseTrial(now time.Time, n Need) (c Choice, ok bool) {
-	if r.opts.Trials == nil || r.drawn || r.attempts > 0 {
+	if r.opts.Trials == nil || r.trialDecided || r.attempts > 0 {
 		return c, false
 	}
-	r.drawn = true
+	r.trialDecided = true
 	ask := r.trialAsk()
 	if !r.opts.Trials.Take(now, ask) {
 		return c, false
@@ -166,7 +166,7 @@
 
 // unsent reverts the count of a request that is refused without having been sent.
 func (r *run) unsent() {
-	if r.drawn && r.attempts == 0 {
+	if r.trialDecided && r.attempts == 0 {
 		r.opts.Trials.Unsent(r.trialAsk())
 	}
 }
@@ -195,10 +195,10 @@
 	var f *conn.Failure
 	switch {
 	case e == EndedComplete:
-		a.Failed = !r.well
+		a.Failed = !r.succeeded
 	case errors.Is(failure, errSilent):
 		a.Silent = true
-	case errors.As(failure, &f) && r.ownFailure:
+	case errors.As(failure, &f) && r.signedFailure:
 		a.Failed = true
 	default:
 		return
--- a/request/wake.go
+++ b/request/wake.go
@@ -8,33 +8,33 @@
 	"time"
 )
 
-// sleepers holds the cancel functions of the running requests, for when a box resumes from suspension.
+// activeRuns holds the cancel functions of the running requests, for when a box resumes from suspension.
 // The requests' timers do not advance while it is suspended.
-type sleepers struct {
+type activeRuns struct {
 	mu  sync.Mutex
-	end map[*run]context.CancelFunc
+	cancels map[*run]context.CancelFunc
 }
 
 // add registers a request and returns a function that removes it.
-func (s *sleepers) add(r *run, end context.CancelFunc) (remove func()) {
+func (s *activeRuns) add(r *run, end context.CancelFunc) (remove func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.end == nil {
-		s.end = make(map[*run]context.CancelFunc)
+	if s.cancels == nil {
+		s.cancels = make(map[*run]context.CancelFunc)
 	}
-	s.end[r] = end
+	s.cancels[r] = end
 	return func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		delete(s.end, r)
+		delete(s.cancels, r)
 	}
 }
 
 // Woke cancels the requests whose time expired while the box was suspended, and returns their number.
 func (s *Server) Woke(now time.Time) (ended int) {
-	s.asleep.mu.Lock()
-	defer s.asleep.mu.Unlock()
-	for r, end := range s.asleep.end {
+	s.active.mu.Lock()
+	defer s.active.mu.Unlock()
+	for r, end := range s.active.cancels {
 		if !now.Before(r.giveUpAt()) {
 			end()
 			ended++
