--- a/request/holdnews.go
+++ b/request/holdnews.go
@@ -9,8 +9,8 @@
 	"streambend.example/crash"
 )
 
-// holdNews is the message that daemons exchange about requests that crash endpoints.
-type holdNews struct {
+// holdMessage is the message that daemons exchange about requests that crash endpoints.
+type holdMessage struct {
 	End      *crash.End    `codec:"e,omitempty"`
 	Verdicts []wireVerdict `codec:"v,omitempty"`
 	Cleared  []crash.Print `codec:"c,omitempty"`
@@ -26,8 +26,8 @@
 	Left   time.Duration `codec:"l"`
 }
 
-// newsOf returns the message for verdicts.
-func newsOf(now time.Time, vs ...crash.Verdict) (n holdNews) {
+// verdictMessage returns the message for verdicts.
+func verdictMessage(now time.Time, vs ...crash.Verdict) (n holdMessage) {
 	for _, v := range vs {
 		n.Verdicts = append(n.Verdicts, wireVerdict{v.Print, v.Ends, v.Trials, v.Next.Sub(now), v.Until.Sub(now)})
 	}
@@ -38,8 +38,8 @@
 	return crash.Verdict{Print: w.Print, Ends: w.Ends, Trials: w.Trials, Next: now.Add(w.Next), Until: now.Add(w.Left)}
 }
 
-// send encodes and sends a message, unless way is nil.
-func send(way func(conn.Payload), n holdNews) {
+// sendMessage encodes and sends a message, unless way is nil.
+func sendMessage(way func(conn.Payload), n holdMessage) {
 	if way != nil {
 		way(conn.Payload{Crashes: conn.Marshal(n)})
 	}
@@ -50,7 +50,7 @@
 	if len(p.Crashes) == 0 {
 		return
 	}
-	var n holdNews
+	var n holdMessage
 	if err := conn.Unmarshal(p.Crashes, &n); err != nil {
 		h.log.Warnf("crash report from %s is malformed: %v", from, err)
 		return
@@ -59,28 +59,28 @@
 		if h.share.Pass != nil {
 			h.share.Pass(from, p)
 		}
-		h.weigh(now, *n.End)
+		h.recordEnd(now, *n.End)
 	}
 	for _, w := range n.Verdicts {
-		h.hear(now, from, w.verdict(now))
+		h.applyVerdict(now, from, w.verdict(now))
 	}
 	for _, p := range n.Cleared {
 		_, held := h.Ledger.Held(now, p)
 		h.Ledger.Clear(now, p)
 		if held {
-			h.drop(p) // the daemon that cleared it may not know of the row
+			h.deleteVerdict(p) // the daemon that cleared it may not know of the row
 		}
 	}
 }
 
-// hear processes a verdict from another daemon or the table. If the request was recently answered
+// applyVerdict processes a verdict from another daemon or the table. If the request was recently answered
 // here, the verdict is cleared everywhere instead.
-func (h *Holds) hear(now time.Time, from string, v crash.Verdict) {
+func (h *Holds) applyVerdict(now time.Time, from string, v crash.Verdict) {
 	_, known := h.Ledger.Held(now, v.Print)
 	if h.Ledger.Hear(now, v) {
 		h.log.WithField("print", v.Print.String()).Infof("request held back by %s was recently answered here: verdict cleared", from)
-		send(h.share.Tell, holdNews{Cleared: []crash.Print{v.Print}})
-		h.drop(v.Print)
+		sendMessage(h.share.Tell, holdMessage{Cleared: []crash.Print{v.Print}})
+		h.deleteVerdict(v.Print)
 		return
 	}
 	if !known {
--- a/request/holdrows.go
+++ b/request/holdrows.go
@@ -15,14 +15,14 @@
 )
 
 const (
-	// holdPart is the partition of the table that stores verdicts.
-	holdPart = "held-back"
-	// holdCall is the timeout of a call to the table. A request waits for it while its trial is claimed.
-	holdCall = 500 * time.Millisecond
-	// holdPause is the interval between retries of an update of the table.
-	holdPause = time.Second
-	// holdRows is the maximum number of verdicts read by a query.
-	holdRows = 256
+	// holdPartition is the partition of the table that stores verdicts.
+	holdPartition = "held-back"
+	// holdCallTimeout is the timeout of a call to the table. A request waits for it while its trial is claimed.
+	holdCallTimeout = 500 * time.Millisecond
+	// holdRetryInterval is the interval between retries of an update of the table.
+	holdRetryInterval = time.Second
+	// holdQueryLimit is the maximum number of verdicts read by a query.
+	holdQueryLimit = 256
 )
 
 // rowVerdict is a verdict as stored in the table. Times are absolute, in Unix milliseconds, since
@@ -34,24 +34,24 @@
 	Until  int64 `json:"until_ms"`
 }
 
-// day returns the wall-clock time.
-func (h *Holds) day(now time.Time) time.Time {
+// wallClock returns the wall-clock time.
+func (h *Holds) wallClock(now time.Time) time.Time {
 	if h.share.Day == nil {
 		return now
 	}
 	return h.share.Day(now)
 }
 
-// row encodes a verdict for the table.
-func (h *Holds) row(now time.Time, v crash.Verdict) []byte {
-	day := h.day(now)
+// encodeVerdict encodes a verdict for the table.
+func (h *Holds) encodeVerdict(now time.Time, v crash.Verdict) []byte {
+	day := h.wallClock(now)
 	at := func(t time.Time) int64 { return day.Add(t.Sub(now)).UnixMilli() }
 	b, _ := json.Marshal(rowVerdict{v.Ends, v.Trials, at(v.Next), at(v.Until)}) // a struct of numbers always encodes
 	return b
 }
 
-// verdictOf decodes a verdict encoded by row.
-func (h *Holds) verdictOf(now time.Time, it seam.Item) (crash.Verdict, error) {
+// decodeVerdict decodes a verdict encoded by row.
+func (h *Holds) decodeVerdict(now time.Time, it seam.Item) (crash.Verdict, error) {
 	p, err := crash.ParsePrint(it.Key.Sort)
 	if err != nil {
 		return crash.Verdict{}, err
@@ -60,12 +60,12 @@
 	if err := json.Unmarshal(it.Value, &w); err != nil {
 		return crash.Verdict{}, errors.Wrapf(err, "request: verdict on %s", p)
 	}
-	day := h.day(now)
+	day := h.wallClock(now)
 	at := func(ms int64) time.Time { return now.Add(time.UnixMilli(ms).Sub(day)) }
 	return crash.Verdict{Print: p, Ends: w.Ends, Trials: w.Trials, Next: at(w.Next), Until: at(w.Until)}, nil
 }
 
-func holdKey(p crash.Print) seam.Key { return seam.Key{Part: holdPart, Sort: p.String()} }
+func holdKey(p crash.Print) seam.Key { return seam.Key{Part: holdPartition, Sort: p.String()} }
 
 // Load applies the verdicts stored in the table and sends them to the neighbours. It reports
 // whether the table could be read. Expired verdicts are deleted.
@@ -73,36 +73,36 @@
 	if h.share.Table == nil {
 		return true
 	}
-	ctx, cancel := context.WithTimeout(ctx, holdCall)
+	ctx, cancel := context.WithTimeout(ctx, holdCallTimeout)
 	defer cancel()
-	items, err := h.share.Table.Query(ctx, holdPart, "", holdRows)
+	items, err := h.share.Table.Query(ctx, holdPartition, "", holdQueryLimit)
 	if err != nil {
 		h.log.Warnf("reading verdicts from the table failed: %v", err)
 		return false
 	}
 	now := h.now()
 	for _, it := range items {
-		v, err := h.verdictOf(now, it)
+		v, err := h.decodeVerdict(now, it)
 		switch {
 		case err != nil:
 			h.log.Warnf("verdict %s in the table is malformed: %v", it.Key.Sort, err)
 		case !v.Until.After(now):
-			h.drop(v.Print)
+			h.deleteVerdict(v.Print)
 		default:
-			h.hear(now, "the table", v)
+			h.applyVerdict(now, "the table", v)
 		}
 	}
 	h.Again(now)
 	return true
 }
 
-// keep stores a verdict in the table, unless it has one for the request.
-func (h *Holds) keep(v crash.Verdict) {
-	h.untilDone(func(ctx context.Context, now time.Time) error {
+// storeVerdict stores a verdict in the table, unless it has one for the request.
+func (h *Holds) storeVerdict(v crash.Verdict) {
+	h.retryInBackground(func(ctx context.Context, now time.Time) error {
 		if _, held := h.Ledger.Held(now, v.Print); !held {
 			return nil
 		}
-		err := seam.Put(ctx, h.share.Table, uuid.NewString(), seam.Write{Key: holdKey(v.Print), Value: h.row(now, v)})
+		err := seam.Put(ctx, h.share.Table, uuid.NewString(), seam.Write{Key: holdKey(v.Print), Value: h.encodeVerdict(now, v)})
 		if errors.Is(err, seam.ErrConflict) {
 			return nil // another daemon has stored the same verdict
 		}
@@ -110,9 +110,9 @@
 	})
 }
 
-// drop deletes a verdict from the table, unless the request is held back again.
-func (h *Holds) drop(p crash.Print) {
-	h.untilDone(func(ctx context.Context, now time.Time) error {
+// deleteVerdict deletes a verdict from the table, unless the request is held back again.
+func (h *Holds) deleteVerdict(p crash.Print) {
+	h.retryInBackground(func(ctx context.Context, now time.Time) error {
 		if _, held := h.Ledger.Held(now, p); held {
 			return nil
 		}
@@ -131,14 +131,14 @@
 	})
 }
 
-// untilDone retries an update of the table in the background until it succeeds or the daemon ends.
-func (h *Holds) untilDone(do func(ctx context.Context, now time.Time) error) {
+// retryInBackground retries an update of the table in the background until it succeeds or the daemon ends.
+func (h *Holds) retryInBackground(do func(ctx context.Context, now time.Time) error) {
 	if h.share.Table == nil {
 		return
 	}
 	go func() {
 		for h.ctx.Err() == nil {
-			ctx, cancel := context.WithTimeout(h.ctx, holdCall)
+			ctx, cancel := context.WithTimeout(h.ctx, holdCallTimeout)
 			err := do(ctx, h.now())
 			cancel()
 			if err == nil {
@@ -147,28 +147,28 @@
 			h.log.Warnf("updating a verdict in the table failed: %v", err)
 			select {
 			case <-h.ctx.Done():
-			case <-time.After(holdPause):
+			case <-time.After(holdRetryInterval):
 			}
 		}
 	}()
 }
 
-// claim reports whether this daemon may run the trial of a request that is held back. A conditional
+// claimTrial reports whether this daemon may run the trial of a request that is held back. A conditional
 // write to the table ensures that only one daemon does.
-func (h *Holds) claim(ctx context.Context, now time.Time, v crash.Verdict) bool {
+func (h *Holds) claimTrial(ctx context.Context, now time.Time, v crash.Verdict) bool {
 	if h.share.Table == nil || !h.claiming.CompareAndSwap(false, true) {
 		return false
 	}
 	defer h.claiming.Store(false)
-	ctx, cancel := context.WithTimeout(ctx, holdCall)
+	ctx, cancel := context.WithTimeout(ctx, holdCallTimeout)
 	defer cancel()
 	w := seam.Write{Key: holdKey(v.Print)}
 	it, err := h.share.Table.Get(ctx, w.Key)
 	if err == nil {
 		w.Rev = it.Rev
-		var kept crash.Verdict
-		if kept, err = h.verdictOf(now, it); err == nil {
-			h.Ledger.Hear(now, kept)
+		var stored crash.Verdict
+		if stored, err = h.decodeVerdict(now, it); err == nil {
+			h.Ledger.Hear(now, stored)
 			v, _ = h.Ledger.Held(now, v.Print)
 		}
 	}
@@ -176,12 +176,12 @@
 		return false
 	}
 	v = v.Tried(now)
-	w.Value = h.row(now, v)
+	w.Value = h.encodeVerdict(now, v)
 	if err := seam.Put(ctx, h.share.Table, uuid.NewString(), w); err != nil {
 		return false // another daemon runs the trial, or the table is unavailable
 	}
 	h.Ledger.Hear(now, v)
-	send(h.share.Tell, newsOf(now, v))
+	sendMessage(h.share.Tell, verdictMessage(now, v))
 	h.log.WithField("print", v.Print.String()).Infof("trial %d of a request that is held back", v.Trials)
 	return true
 }
--- a/request/holds.go
+++ b/request/holds.go
@@ -33,7 +33,7 @@
 	Ledger crash.Ledger
 
 	share    HoldShare
-	gone     func(now time.Time, endpoint string) // is called for each end
+	onEnd     func(now time.Time, endpoint string) // is called for each end
 	log      *logrus.Entry
 	now      func() time.Time
 	ctx      context.Context // ends with the daemon
@@ -45,61 +45,61 @@
 	return &Holds{share: o.Holds, now: o.now, log: log, ctx: ctx}
 }
 
-// ended records and reports the end of an endpoint that this daemon has detected.
-func (h *Holds) ended(now time.Time, e crash.End) {
+// reportEnd records and reports the end of an endpoint that this daemon has detected.
+func (h *Holds) reportEnd(now time.Time, e crash.End) {
 	h.Ended.Add(1)
-	h.weigh(now, e)
-	send(h.share.Weigh, holdNews{End: &e})
+	h.recordEnd(now, e)
+	sendMessage(h.share.Weigh, holdMessage{End: &e})
 }
 
-// weigh records the end of an endpoint, reported by any daemon, and publishes new verdicts.
-func (h *Holds) weigh(now time.Time, e crash.End) {
-	h.gone(now, e.Endpoint)
+// recordEnd records the end of an endpoint, reported by any daemon, and publishes new verdicts.
+func (h *Holds) recordEnd(now time.Time, e crash.End) {
+	h.onEnd(now, e.Endpoint)
 	for _, v := range h.Ledger.Ended(now, e) {
 		h.log.WithFields(logrus.Fields{
 			"print": v.Print.String(), "ends": v.Ends, "last_endpoint": e.Endpoint, "beside": len(e.Flights) - 1,
 			"until_s": v.Until.Sub(now).Seconds(), "tried_again_s": v.Next.Sub(now).Seconds(),
 		}).Warn("request held back: it crashes endpoints")
-		send(h.share.Tell, newsOf(now, v))
-		h.keep(v)
+		sendMessage(h.share.Tell, verdictMessage(now, v))
+		h.storeVerdict(v)
 	}
 }
 
-// answered records that a request was answered successfully, and clears suspicion of it everywhere.
-func (h *Holds) answered(now time.Time, p crash.Print) {
+// recordSuccess records that a request was recordSuccess successfully, and clears suspicion of it everywhere.
+func (h *Holds) recordSuccess(now time.Time, p crash.Print) {
 	_, held := h.Ledger.Held(now, p)
 	if !h.Ledger.Answered(now, p) {
 		return
 	}
 	h.log.WithField("print", p.String()).Info("request answered: it is no longer suspected of crashing endpoints")
-	send(h.share.Tell, holdNews{Cleared: []crash.Print{p}})
+	sendMessage(h.share.Tell, holdMessage{Cleared: []crash.Print{p}})
 	if held {
-		h.drop(p)
+		h.deleteVerdict(p)
 	}
 }
 
 // Again sends the verdicts in force once more, for daemons that have missed them.
 func (h *Holds) Again(now time.Time) {
 	if vs := h.Ledger.Verdicts(now); len(vs) > 0 {
-		send(h.share.Near, newsOf(now, vs...))
+		sendMessage(h.share.Near, verdictMessage(now, vs...))
 	}
 }
 
-// trialTakes is the least Retry-After of a request that is held back, so that a running trial
+// minTrialRetryAfter is the least Retry-After of a request that is held back, so that a running trial
 // can end: most answers are complete by then.
-const trialTakes = 2 * time.Second
+const minTrialRetryAfter = 2 * time.Second
 
-// heldBack returns an error for a request that is held back, unless its trial is due and this
+// checkHold returns an error for a request that is held back, unless its trial is due and this
 // daemon wins the claim to run it.
-func (r *run) heldBack(ctx context.Context) *code.Error {
+func (r *run) checkHold(ctx context.Context) *code.Error {
 	now := r.Now()
 	v, held := r.Holds.Ledger.Held(now, r.print)
 	if !held || r.holdTrial && !r.life.Tainted {
 		return nil
 	}
-	if v.Due(now) && !r.life.Tainted && r.Holds.claim(ctx, now, v) {
+	if v.Due(now) && !r.life.Tainted && r.Holds.claimTrial(ctx, now, v) {
 		r.holdTrial = true
 		return nil
 	}
-	return code.New(code.CrashesEndpoints, "%d endpoints have crashed while running it", v.Ends).After(max(v.Back().Sub(now), trialTakes))
+	return code.New(code.CrashesEndpoints, "%d endpoints have crashed while running it", v.Ends).After(max(v.Back().Sub(now), minTrialRetryAfter))
 }
--- a/request/server.go
+++ b/request/server.go
@@ -81,8 +81,8 @@
 	s.baseCtx, s.kill = context.WithCancel(context.Background())
 	s.kept.init(o)
 	s.Holds = newHolds(s.baseCtx, &s.opts, log.WithField("part", "crash"))
-	s.Holds.gone = s.endpointEnded
-	s.ends = ends{client: client, now: s.Now, log: s.Holds.log, report: s.Holds.ended}
+	s.Holds.onEnd = s.endpointEnded
+	s.ends = ends{client: client, now: s.Now, log: s.Holds.log, report: s.Holds.reportEnd}
 	return s
 }
 
@@ -250,7 +250,7 @@
 		choice, err := r.route(ctx)
 		if err == nil {
 			// The request may have been held back meanwhile, by another attempt or daemon.
-			err = r.heldBack(ctx)
+			err = r.checkHold(ctx)
 		}
 		if err != nil {
 			r.end(ctx, err)
@@ -267,7 +267,7 @@
 func (r *run) admit(ctx context.Context) *code.Error {
 	now := r.Now()
 	r.life.apply(eventQueue)
-	if err := r.heldBack(ctx); err != nil {
+	if err := r.checkHold(ctx); err != nil {
 		return err
 	}
 	r.ticket = Ticket{
--- a/request/settle.go
+++ b/request/settle.go
@@ -168,7 +168,7 @@
 func (r *run) complete(now time.Time) {
 	r.work.Budget.Earn()
 	if r.succeeded {
-		r.Holds.answered(now, r.print)
+		r.Holds.recordSuccess(now, r.print)
 	}
 	event := eventComplete
 	if now.After(r.r.Deadline) {
