--- a/request/relay.go
+++ b/request/relay.go
@@ -67,9 +67,9 @@
 	Begun        func(now time.Time)                 // called when an endpoint has started it; may be nil
 	Measured     func(first, expected time.Duration) // called with an attempt's time to its first event; may be nil
 
-	head   bool  // the answer's head has been written to the caller
-	last   int64 // id of the last event written to the caller
-	began  bool
+	headWritten   bool  // the answer's head has been written to the caller
+	lastEvent   int64 // id of the last event written to the caller
+	startRecorded  bool
 	failed *failedAnswer
 }
 
@@ -82,36 +82,36 @@
 }
 
 // Started reports whether a part of the answer has been written to the caller.
-func (x *Relay) Started() bool { return x.head }
+func (x *Relay) Started() bool { return x.headWritten }
 
 // PassFailure writes the last error answer of an endpoint to the caller, if there
 // is one and nothing has been written. It reports whether it did.
 func (x *Relay) PassFailure() bool {
-	if x.failed == nil || x.head {
+	if x.failed == nil || x.headWritten {
 		return false
 	}
 	x.write(x.failed.status, x.failed.header, x.failed.body)
 	return true
 }
 
-// begun records that an endpoint has started the request; only the first call invokes Begun.
-func (x *Relay) begun(now time.Time) {
-	if !x.began && x.Begun != nil {
+// recordStart records that an endpoint has started the request; only the first call invokes Begun.
+func (x *Relay) recordStart(now time.Time) {
+	if !x.startRecorded && x.Begun != nil {
 		x.Begun(now)
 	}
-	x.began = true
+	x.startRecorded = true
 }
 
-// wholeLimit is the maximum size in bytes of an answer that is read completely before it is forwarded.
-const wholeLimit = 4 << 20
+// maxAnswerBytes is the maximum size in bytes of an answer that is read completely before it is forwarded.
+const maxAnswerBytes = 4 << 20
 
 var (
 	errOtherAnswer = errors.New("request: answer belongs to another request")
 	errUnsigned    = errors.New("request: answer is not signed by the endpoint")
-	errOrder       = errors.New("request: stream event missing or duplicated")
+	errEventOrder       = errors.New("request: stream event missing or duplicated")
 	errStaleList     = errors.New("request: endpoint list became too old before the endpoint was reached")
-	errLate        = errors.New("request: deadline exceeded")
-	errCaller      = errors.New("request: writing to the caller failed")
+	errDeadline        = errors.New("request: deadline exceeded")
+	errCallerWrite      = errors.New("request: writing to the caller failed")
 )
 
 // attemptRelay sends the request to one endpoint and forwards its answer.
@@ -120,25 +120,25 @@
 	r.attempts++
 	left := r.r.Deadline.Sub(r.Now())
 	if left <= 0 {
-		return EndedUnsent, errLate
+		return EndedUnsent, errDeadline
 	}
-	ctx, cancelLate := context.WithTimeoutCause(ctx, left, errLate)
+	ctx, cancelLate := context.WithTimeoutCause(ctx, left, errDeadline)
 	defer cancelLate()
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	dog := r.watchRelay(c, cancel)
+	dog := r.startWatchdog(c, cancel)
 	defer dog.stop()
-	old := r.watchAge(c, cancel)
+	old := r.startListTimer(c, cancel)
 	defer old.Stop()
-	mark := r.sendPrompt(c)
+	mark := r.recordPrompt(c)
 	resp, err := r.Client.Forward(ctx, conn.Passed{
 		Address: c.Target.Address, Method: r.r.Method, Target: r.r.Path, Host: x.Host,
-		Header: x.Codec.Head(Attempt{Endpoint: c.Target.ID, Left: left, Resume: x.head, After: x.last}),
+		Header: x.Codec.Head(Attempt{Endpoint: c.Target.ID, Left: left, Resume: x.headWritten, After: x.lastEvent}),
 		Body:   r.r.Body, Fresh: r.r.Unrepeatable, Connected: func() { old.Stop() },
 	})
 	if err != nil {
 		c.Target.Dropped(r.Now(), mark)
-		return r.classifyError(err), because(ctx, err)
+		return r.classifyError(err), withCause(ctx, err)
 	}
 	defer resp.Body.Close()
 	head := x.Codec.Read(resp.StatusCode, resp.Header)
@@ -159,21 +159,21 @@
 	case resp.StatusCode < http.StatusMultipleChoices && !head.Signed:
 		return EndedBroken, errUnsigned
 	case x.Streaming && resp.StatusCode == http.StatusOK:
-		ending, err := r.passEvents(c, mark, resp, dog)
-		return ending, because(ctx, err)
+		ending, err := r.forwardEvents(c, mark, resp, dog)
+		return ending, withCause(ctx, err)
 	default:
-		return r.passWhole(resp, head)
+		return r.forwardAnswer(resp, head)
 	}
 }
 
 const (
-	// answerLeast is the minimum time given to an endpoint to answer before a
+	// minAnswerTime is the minimum time given to an endpoint to answer before a
 	// repeatable request is retried elsewhere.
-	answerLeast = 250 * time.Millisecond
-	// stallTimes and stallLeast define the stall timeout of a stream: stallTimes times
+	minAnswerTime = 250 * time.Millisecond
+	// stallFactor and stallLeast define the stall timeout of a stream: stallFactor times
 	// the longest pause that counts as in time, at least stallLeast.
-	stallTimes = 2
-	stallLeast = time.Second
+	stallFactor = 2
+	minStallTimeout = time.Second
 )
 
 // watchdog cancels an attempt when its endpoint stops sending data. Its zero value
@@ -181,39 +181,39 @@
 type watchdog struct {
 	timer *time.Timer
 	stall time.Duration
-	over  *atomic.Bool // the attempt has ended; checked by the timer, which may fire concurrently with stop
+	stopped  *atomic.Bool // the attempt has ended; checked by the timer, which may fire concurrently with stop
 }
 
 func (w watchdog) stop() {
 	if w.timer != nil {
-		w.over.Store(true)
+		w.stopped.Store(true)
 		w.timer.Stop()
 	}
 }
 
-// feed restarts the stall timeout when the endpoint has sent data.
-func (w watchdog) feed() {
+// reset restarts the stall timeout when the endpoint has sent data.
+func (w watchdog) reset() {
 	if w.timer != nil {
 		w.timer.Reset(w.stall)
 	}
 }
 
-// watchRelay returns a watchdog for an attempt that may be retried elsewhere. Other
+// startWatchdog returns a watchdog for an attempt that may be retried elsewhere. Other
 // attempts are not cancelled before the deadline: silence does not prove a failure.
 // While the retry budget has no retry to spare, an attempt is not cancelled either, as
 // the request would be lost.
-func (r *run) watchRelay(c Choice, cancel context.CancelCauseFunc) watchdog {
+func (r *run) startWatchdog(c Choice, cancel context.CancelCauseFunc) watchdog {
 	x := r.r.Relay
 	if r.r.Unrepeatable || r.startedAttempts+1 >= x.Attempts || !r.opts.Without.On(mechanism.SilenceWatch) {
 		return watchdog{}
 	}
-	wait := max(r.r.Route.Target.Duration, answerLeast) + c.First
-	w := watchdog{stall: max(stallTimes*x.Pause, stallLeast), over: new(atomic.Bool)}
+	wait := max(r.r.Route.Target.Duration, minAnswerTime) + c.First
+	w := watchdog{stall: max(stallFactor*x.Pause, minStallTimeout), stopped: new(atomic.Bool)}
 	var mu sync.Mutex // w.timer is assigned before its callback reads it
 	mu.Lock()
 	defer mu.Unlock()
 	w.timer = time.AfterFunc(wait, func() {
-		if w.over.Load() {
+		if w.stopped.Load() {
 			return
 		}
 		if r.work.Budget.TakeSpare(r.Now()) {
@@ -223,14 +223,14 @@
 		}
 		mu.Lock()
 		defer mu.Unlock()
-		w.timer.Reset(answerLeast)
+		w.timer.Reset(minAnswerTime)
 	})
 	return w
 }
 
-// watchAge cancels an attempt that is not yet connected when the list from which its
+// startListTimer cancels an attempt that is not yet connected when the list from which its
 // endpoint was chosen becomes too old: the endpoint may have announced since that it leaves.
-func (r *run) watchAge(c Choice, cancel context.CancelCauseFunc) *time.Timer {
+func (r *run) startListTimer(c Choice, cancel context.CancelCauseFunc) *time.Timer {
 	until := c.Until
 	if until.IsZero() {
 		until = r.r.Deadline
@@ -238,17 +238,17 @@
 	return time.AfterFunc(max(until.Sub(r.Now()), clock.LeastTimer), func() { cancel(errStaleList) })
 }
 
-// because returns the cause of the context's cancellation if an attempt failed for it, else the
+// withCause returns the cause of the context's cancellation if an attempt failed for it, else the
 // attempt's error.
-func because(ctx context.Context, err error) error {
+func withCause(ctx context.Context, err error) error {
 	if cause := context.Cause(ctx); err != nil && cause != nil {
 		return cause
 	}
 	return err
 }
 
-// sendPrompt adds the prompt to the backlog of its engine, in this daemon and in the others.
-func (r *run) sendPrompt(c Choice) Mark {
+// recordPrompt adds the prompt to the backlog of its engine, in this daemon and in the others.
+func (r *run) recordPrompt(c Choice) Mark {
 	x := r.r.Relay
 	if len(x.Parts) == 0 {
 		return Mark{}
@@ -260,21 +260,21 @@
 	return mark
 }
 
-// passWhole reads a complete answer and forwards it, unless it is a server error, for
+// forwardAnswer reads a complete answer and forwards it, unless it is a server error, for
 // which another endpoint may succeed.
-func (r *run) passWhole(resp *http.Response, head AnswerHead) (Ending, error) {
+func (r *run) forwardAnswer(resp *http.Response, head AnswerHead) (Ending, error) {
 	x := r.r.Relay
-	body, err := io.ReadAll(io.LimitReader(resp.Body, wholeLimit+1))
-	if err == nil && len(body) > wholeLimit {
-		err = errors.Errorf("request: answer exceeds %d bytes", wholeLimit)
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswerBytes+1))
+	if err == nil && len(body) > maxAnswerBytes {
+		err = errors.Errorf("request: answer exceeds %d bytes", maxAnswerBytes)
 	}
 	if err != nil {
 		return EndedBroken, &conn.Failure{Sent: true, Err: err}
 	}
-	if x.head {
+	if x.headWritten {
 		return EndedBroken, &conn.Failure{Sent: true, Status: resp.StatusCode} // in reply to a stream that should have been resumed
 	}
-	x.begun(r.started)
+	x.recordStart(r.started)
 	if resp.StatusCode >= http.StatusInternalServerError {
 		x.failed = &failedAnswer{resp.StatusCode, resp.Header, body}
 		r.signedFailure = head.Signed
@@ -299,7 +299,7 @@
 
 // writeHead sends the status and headers to the caller.
 func (x *Relay) writeHead(status int, h http.Header) {
-	x.head = true
+	x.headWritten = true
 	out := x.Out.Header()
 	x.Codec.Copy(out, h)
 	for _, name := range []string{"Date", "Content-Type"} {
@@ -310,18 +310,18 @@
 	x.Out.WriteHeader(status)
 }
 
-// passEvents forwards a stream event by event. The head is written with the first
+// forwardEvents forwards a stream event by event. The head is written with the first
 // event, so that until then the request can be retried elsewhere.
-func (r *run) passEvents(c Choice, mark Mark, resp *http.Response, dog watchdog) (Ending, error) {
+func (r *run) forwardEvents(c Choice, mark Mark, resp *http.Response, dog watchdog) (Ending, error) {
 	x := r.r.Relay
 	first, count, readBefore := true, 0, time.Duration(0)
 	events := conn.NewEvents(resp.Body)
 	flush := http.NewResponseController(x.Out)
 	for {
 		ev, err := events.Next()
-		dog.feed()
+		dog.reset()
 		if err == io.EOF {
-			if !x.head {
+			if !x.headWritten {
 				x.writeHead(resp.StatusCode, resp.Header)
 			}
 			r.succeeded = count > 0
@@ -344,26 +344,26 @@
 			if x.Measured != nil {
 				x.Measured(r.first, r.expected)
 			}
-			x.begun(now)
+			x.recordStart(now)
 			r.life.apply(eventStream)
 			c.Target.Begun(now, mark)
 			readBefore = c.Target.ReadingDone(now)
 		}
-		if ev.ID >= 0 && x.last > 0 && ev.ID <= x.last {
-			return EndedBroken, errOrder
+		if ev.ID >= 0 && x.lastEvent > 0 && ev.ID <= x.lastEvent {
+			return EndedBroken, errEventOrder
 		}
-		if !x.head {
+		if !x.headWritten {
 			resp.Header.Del("Content-Length") // the parts of a stream may come from several endpoints
 			x.writeHead(resp.StatusCode, resp.Header)
 		}
 		if _, err := x.Out.Write(ev.Raw); err != nil {
-			return EndedBroken, errors.Wrap(errCaller, err.Error())
+			return EndedBroken, errors.Wrap(errCallerWrite, err.Error())
 		}
 		if err := flush.Flush(); err != nil {
-			return EndedBroken, errors.Wrap(errCaller, err.Error())
+			return EndedBroken, errors.Wrap(errCallerWrite, err.Error())
 		}
 		if ev.ID >= 0 {
-			x.last = ev.ID
+			x.lastEvent = ev.ID
 		}
 	}
 }
