--- a/request/claim.go
+++ b/request/claim.go
@@ -17,12 +17,12 @@
 
 const claimPart = "claim"
 
-// maxStored is the maximum size in bytes of the row of a claim with its answer. The
+// maxRowBytes is the maximum size in bytes of the row of a claim with its answer. The
 // table's own limit is 400 KB per item.
-const maxStored = 256 << 10
+const maxRowBytes = 256 << 10
 
-// releasedKept is the maximum number of released claims, and of taken ones, that are remembered.
-const releasedKept = 16384
+// maxRemembered is the maximum number of released claims, and of taken ones, that are remembered.
+const maxRemembered = 16384
 
 // ClaimRow is the value of a claim's row in the table.
 type ClaimRow struct {
@@ -66,8 +66,8 @@
 // NewClaims returns the claims of a daemon.
 func NewClaims(self string, t seam.Table) *Claims {
 	// A forgotten release makes the outcome of a repeat unknown, but never causes a second run.
-	released, _ := simplelru.NewLRU[string, bool](releasedKept, nil)
-	taken, _ := simplelru.NewLRU[string, bool](releasedKept, nil)
+	released, _ := simplelru.NewLRU[string, bool](maxRemembered, nil)
+	taken, _ := simplelru.NewLRU[string, bool](maxRemembered, nil)
 	return &Claims{Self: self, Table: t, released: released, taken: taken}
 }
 
@@ -76,8 +76,8 @@
 	return c.put(ctx, now, Claim{key: seam.Key{Part: claimPart, Sort: name}}, body)
 }
 
-// Over takes over the claim of a holder that reported not to have run it.
-func (c *Claims) Over(ctx context.Context, now time.Time, from Claim) Claim {
+// TakeOver takes over the claim of a holder that reported not to have run it.
+func (c *Claims) TakeOver(ctx context.Context, now time.Time, from Claim) Claim {
 	return c.put(ctx, now, from, from.Row.Body)
 }
 
@@ -91,7 +91,7 @@
 	err = seam.Put(ctx, c.Table, uuid.NewString(), seam.Write{Key: from.key, Rev: from.rev, Value: v})
 	switch {
 	case err == nil:
-		c.mark(from.key.Sort)
+		c.recordTaken(from.key.Sort)
 		return cl
 	case errors.Is(err, seam.ErrConflict):
 		return c.read(ctx, from.key)
@@ -99,8 +99,8 @@
 		// The row may have been written although the call failed. Nothing is sent,
 		// so the claim is remembered as released for a daemon that finds the row,
 		// unless an earlier call of this name may have been sent.
-		if !c.remembered(from.key.Sort) {
-			c.remember(from.key.Sort)
+		if !c.mayHaveSent(from.key.Sort) {
+			c.recordReleased(from.key.Sort)
 		}
 		return Claim{State: ClaimDown, key: from.key}
 	}
@@ -122,30 +122,30 @@
 	return cl
 }
 
-// remember records a claim as released.
-func (c *Claims) remember(name string) {
+// recordReleased records a claim as released.
+func (c *Claims) recordReleased(name string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.released.Add(name, true)
 	c.taken.Remove(name)
 }
 
-// forget removes the record of a released claim.
-func (c *Claims) forget(name string) {
+// forgetReleased removes the record of a released claim.
+func (c *Claims) forgetReleased(name string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.released.Remove(name)
 }
 
-// remembered reports whether this daemon may have sent the request of a name.
-func (c *Claims) remembered(name string) bool {
+// mayHaveSent reports whether this daemon may have sent the request of a name.
+func (c *Claims) mayHaveSent(name string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.taken.Contains(name)
 }
 
-// mark records a claim as taken.
-func (c *Claims) mark(name string) {
+// recordTaken records a claim as taken.
+func (c *Claims) recordTaken(name string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.released.Remove(name)
@@ -162,10 +162,10 @@
 
 // Release deletes the claim of a request that was not sent.
 func (c *Claims) Release(ctx context.Context, cl Claim) {
-	c.remember(cl.key.Sort)
+	c.recordReleased(cl.key.Sort)
 	w := seam.Write{Key: cl.key, Rev: cl.rev, Delete: true}
 	if c.Table.Write(ctx, uuid.NewString(), w) == nil {
-		c.forget(cl.key.Sort)
+		c.forgetReleased(cl.key.Sort)
 	}
 }
 
@@ -174,7 +174,7 @@
 	row := cl.Row
 	row.Answered, row.Answer = true, &s
 	v, err := json.Marshal(row)
-	if err == nil && len(v) > maxStored {
+	if err == nil && len(v) > maxRowBytes {
 		row.Answer, row.TooLarge = nil, true
 		v, err = json.Marshal(row)
 	}
--- a/request/ends.go
+++ b/request/ends.go
@@ -15,51 +15,51 @@
 )
 
 const (
-	// gatherFor is how long the interrupted requests of an endpoint are collected after it has
+	// gatherWindow is how long the interrupted requests of an endpoint are collected after it has
 	// closed the first connection. In a crash with 26 requests, those of one daemon ended within 2 ms.
-	gatherFor = 15 * time.Millisecond
-	// lookLimit is the timeout of a probe connection. An endpoint that neither accepts nor refuses
+	gatherWindow = 15 * time.Millisecond
+	// probeTimeout is the timeout of a probe connection. An endpoint that neither accepts nor refuses
 	// it is unreachable, and it is not known whether it has ended.
-	lookLimit = 400 * time.Millisecond
+	probeTimeout = 400 * time.Millisecond
 )
 
-// ends detects whether endpoints that close the connections of requests have ended. A closed
+// endDetector detects whether endpoints that close the connections of requests have ended. A closed
 // connection is not sufficient evidence: endpoints also close single connections or break off an
 // answer, and a network failure can reset connections.
-type ends struct {
+type endDetector struct {
 	client *conn.Client
 	now    func() time.Time
 	log    *logrus.Entry
 	report func(now time.Time, e crash.End)
 
 	mu   sync.Mutex
-	open map[*Target][]crash.Flight // interrupted requests of the endpoints to be probed
+	interrupted map[*Target][]crash.Flight // interrupted requests of the endpoints to be probed
 }
 
 // closed records that an endpoint has closed the connection of a request, and schedules a probe.
-func (x *ends) closed(ctx context.Context, t *Target, f crash.Flight) {
+func (x *endDetector) closed(ctx context.Context, t *Target, f crash.Flight) {
 	if _, leaving := t.Leaving(); leaving {
 		return // a planned end
 	}
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	if x.open == nil {
-		x.open = make(map[*Target][]crash.Flight)
+	if x.interrupted == nil {
+		x.interrupted = make(map[*Target][]crash.Flight)
 	}
-	_, looking := x.open[t]
-	x.open[t] = append(x.open[t], f)
+	_, looking := x.interrupted[t]
+	x.interrupted[t] = append(x.interrupted[t], f)
 	if !looking {
-		time.AfterFunc(gatherFor, func() { x.look(ctx, t) })
+		time.AfterFunc(gatherWindow, func() { x.look(ctx, t) })
 	}
 }
 
 // look probes an endpoint and reports it as ended if it refuses connections.
-func (x *ends) look(ctx context.Context, t *Target) {
+func (x *endDetector) look(ctx context.Context, t *Target) {
 	x.mu.Lock()
-	flights := x.open[t]
-	delete(x.open, t)
+	flights := x.interrupted[t]
+	delete(x.interrupted, t)
 	x.mu.Unlock()
-	ctx, cancel := context.WithTimeout(ctx, lookLimit)
+	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	var err error
 	if !t.over.Load() {
--- a/request/holdtime.go
+++ b/request/holdtime.go
@@ -9,19 +9,19 @@
 )
 
 const (
-	// holdFirst is the initial estimate of the time for which a request holds its slot, per expected
+	// initialTokenTime is the initial estimate of the time for which a request holds its slot, per expected
 	// token: one step of a large engine.
-	holdFirst = 5 * time.Millisecond
-	// besideFirst is the initial estimate of the share of an engine's prefill time by which running
+	initialTokenTime = 5 * time.Millisecond
+	// initialPrefillShare is the initial estimate of the share of an engine's prefill time by which running
 	// answers are delayed. Engines either interleave prefill with decoding or run it separately.
-	besideFirst = 0.5
-	// besideMost is the upper bound of that share.
-	besideMost = 1.2
-	// holdForget is the decay of the weights per answer: about the last fifty answers count.
-	holdForget = 0.98
-	// priorHeld and priorRead2 are the weights of the two initial estimates: the tokens of about one
+	initialPrefillShare = 0.5
+	// maxPrefillShare is the upper bound of that share.
+	maxPrefillShare = 1.2
+	// holdDecay is the decay of the weights per answer: about the last fifty answers count.
+	holdDecay = 0.98
+	// priorHeld and priorPrefillSquared are the weights of the two initial estimates: the tokens of about one
 	// answer, and the squared prefill seconds of about four.
-	priorHeld, priorRead2 = 300, 1
+	priorHeld, priorPrefillSquared = 300, 1
 )
 
 // holdTime estimates how long an answer holds its slot at an engine: a time per expected token plus
@@ -35,9 +35,9 @@
 	rt, rr, rw float64 // and of their products with the prefill time
 }
 
-// learn adds an observation: the expected tokens of an answer, the time from its first event to
+// observe adds an observation: the expected tokens of an answer, the time from its first event to
 // its last, and the engine's prefill time meanwhile.
-func (h *holdTime) learn(tokens int, took, read time.Duration) {
+func (h *holdTime) observe(tokens int, took, read time.Duration) {
 	if tokens <= 0 {
 		return
 	}
@@ -45,7 +45,7 @@
 	defer h.mu.Unlock()
 	t, r, w := float64(tokens), max(read, 0).Seconds(), took.Seconds()
 	for _, sum := range []*float64{&h.t, &h.r, &h.w, &h.rt, &h.rr, &h.rw} {
-		*sum *= holdForget
+		*sum *= holdDecay
 	}
 	h.t += t
 	h.r += r
@@ -57,11 +57,11 @@
 
 // solve fits the seconds per token and the share of prefill time to the sums. The caller holds mu.
 func (h *holdTime) solve() (token, beside float64) {
-	t, w := h.t+priorHeld, h.w+priorHeld*holdFirst.Seconds()
-	up := h.rw - h.rt*w/t + priorRead2*besideFirst
-	down := h.rr - h.rt*h.r/t + priorRead2
-	beside = math.Min(math.Max(up/math.Max(down, priorRead2), 0), besideMost)
-	return math.Max((w-h.r*beside)/t, holdFirst.Seconds()/20), beside
+	t, w := h.t+priorHeld, h.w+priorHeld*initialTokenTime.Seconds()
+	up := h.rw - h.rt*w/t + priorPrefillSquared*initialPrefillShare
+	down := h.rr - h.rt*h.r/t + priorPrefillSquared
+	beside = math.Min(math.Max(up/math.Max(down, priorPrefillSquared), 0), maxPrefillShare)
+	return math.Max((w-h.r*beside)/t, initialTokenTime.Seconds()/20), beside
 }
 
 // of returns the predicted time for which an answer of so many expected tokens holds its slot,
@@ -83,4 +83,4 @@
 
 // Held records how long an answer held its slot at an engine from its first event on, given the
 // expected tokens, and the engine's prefill time meanwhile.
-func (p *Pool) Held(tokens int, took, read time.Duration) { p.holds.learn(tokens, took, read) }
+func (p *Pool) Held(tokens int, took, read time.Duration) { p.holds.observe(tokens, took, read) }
--- a/request/kept.go
+++ b/request/kept.go
@@ -9,32 +9,32 @@
 	"streambend.example/code"
 )
 
-// keptAnswers holds the running and recently finished answers, which repeated calls join by their key.
-type keptAnswers struct {
-	keep time.Duration
-	most int
+// answerCache holds the running and recently finished answers, which repeated calls join by their key.
+type answerCache struct {
+	ttl time.Duration
+	maxFinished int
 
 	mu     sync.Mutex
-	byName map[string]*kept
-	done   []*kept // finished, the oldest first
+	byName map[string]*cacheEntry
+	done   []*cacheEntry // finished, the oldest first
 }
 
-// kept is an entry of keptAnswers.
-type kept struct {
+// cacheEntry is an entry of keptAnswers.
+type cacheEntry struct {
 	name string
 	body uint64
 	a    *Answer
 	r    *Request
-	at   time.Time // when it finished
-	over bool
+	finishedAt   time.Time // when it finished
+	finished bool
 }
 
-func (k *keptAnswers) init(o Options) {
-	k.keep, k.most, k.byName = o.Keep, o.KeepMost, make(map[string]*kept)
+func (k *answerCache) init(o Options) {
+	k.ttl, k.maxFinished, k.byName = o.Keep, o.KeepMost, make(map[string]*cacheEntry)
 }
 
 // join returns the answer stored under a name, or adds a new one.
-func (k *keptAnswers) join(now time.Time, name string, r *Request) (a *Answer, fresh bool, err error) {
+func (k *answerCache) join(now time.Time, name string, r *Request) (a *Answer, fresh bool, err error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.expire(now)
@@ -43,11 +43,11 @@
 		if old.body != body {
 			return nil, false, code.New(code.KeyReused, "the key was used before with another body")
 		}
-		if !old.over || old.a.reusable() {
+		if !old.finished || old.a.reusable() {
 			return old.a, false, nil
 		}
 	}
-	e := &kept{name: name, body: body, a: NewAnswer(r.ID, r.Model.Max, Snapshot{}), r: r}
+	e := &cacheEntry{name: name, body: body, a: NewAnswer(r.ID, r.Model.Max, Snapshot{}), r: r}
 	k.byName[name] = e
 	return e.a, true, nil
 }
@@ -61,20 +61,20 @@
 }
 
 // finish marks an answer as finished.
-func (k *keptAnswers) finish(now time.Time, name string) {
+func (k *answerCache) finish(now time.Time, name string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if e := k.byName[name]; e != nil && !e.over {
-		e.over, e.at = true, now
+	if e := k.byName[name]; e != nil && !e.finished {
+		e.finished, e.finishedAt = true, now
 		k.done = append(k.done, e)
 	}
 	k.expire(now)
 }
 
 // expire removes the finished answers beyond the limits of age and number. The caller holds mu.
-func (k *keptAnswers) expire(now time.Time) {
+func (k *answerCache) expire(now time.Time) {
 	n := 0
-	for n < len(k.done) && (len(k.done)-n > k.most || now.Sub(k.done[n].at) > k.keep) {
+	for n < len(k.done) && (len(k.done)-n > k.maxFinished || now.Sub(k.done[n].finishedAt) > k.ttl) {
 		if e := k.done[n]; k.byName[e.name] == e {
 			delete(k.byName, e.name)
 		}
@@ -84,11 +84,11 @@
 }
 
 // running reports whether the request of a name is running.
-func (k *keptAnswers) running(name string) bool {
+func (k *answerCache) running(name string) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	e := k.byName[name]
-	return e != nil && !e.over
+	return e != nil && !e.finished
 }
 
 // AnswerClaim returns the state of a claim of this daemon, to answer another daemon's AskClaim.
@@ -98,7 +98,7 @@
 		return HolderReleased
 	case s.kept.running(name):
 		return HolderRunning
-	case s.Claims.remembered(name):
+	case s.Claims.mayHaveSent(name):
 		return HolderRan
 	default:
 		return HolderUnknown
@@ -116,9 +116,9 @@
 // their states, for a peer to keep until the callers reconnect.
 func (s *Server) HandOver() []Handover {
 	s.kept.mu.Lock()
-	var es []*kept
+	var es []*cacheEntry
 	for _, e := range s.kept.byName {
-		if !e.over && !e.r.Unrepeatable {
+		if !e.finished && !e.r.Unrepeatable {
 			es = append(es, e)
 		}
 	}
@@ -131,8 +131,8 @@
 	return out
 }
 
-// load replaces the content of an answer by a stored one and ends it.
-func (a *Answer) load(s Snapshot) {
+// restore replaces the content of an answer by a stored one and ends it.
+func (a *Answer) restore(s Snapshot) {
 	a.mu.Lock()
 	a.snap = s
 	a.snap.Done = false
@@ -140,8 +140,8 @@
 	a.settle(nil)
 }
 
-// firstAt returns when the first token arrived.
-func (a *Answer) firstAt() time.Time {
+// firstTokenAt returns when the first token arrived.
+func (a *Answer) firstTokenAt() time.Time {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.first
--- a/request/server.go
+++ b/request/server.go
@@ -52,11 +52,11 @@
 	Count  Counters
 	Holds  *Holds
 
-	ends   ends
+	ends   endDetector
 	active activeRuns
 	opts   Options
 	log    *logrus.Entry
-	kept   keptAnswers
+	kept   answerCache
 	wg     sync.WaitGroup
 	baseCtx  context.Context
 	kill   context.CancelFunc
@@ -82,7 +82,7 @@
 	s.kept.init(o)
 	s.Holds = newHolds(s.baseCtx, &s.opts, log.WithField("part", "crash"))
 	s.Holds.onEnd = s.endpointEnded
-	s.ends = ends{client: client, now: s.Now, log: s.Holds.log, report: s.Holds.reportEnd}
+	s.ends = endDetector{client: client, now: s.Now, log: s.Holds.log, report: s.Holds.reportEnd}
 	return s
 }
 
@@ -314,7 +314,7 @@
 		r.log.Infof("claim: %s is held by %s in state %d", r.r.ID, c.Row.Holder, state)
 		switch state {
 		case HolderReleased:
-			c = r.Claims.Over(ctx, r.Now(), c)
+			c = r.Claims.TakeOver(ctx, r.Now(), c)
 		case HolderRunning:
 			r.refuse(code.New(code.StillRunning, "another daemon is running it").After(time.Second))
 			return true
@@ -329,7 +329,7 @@
 // resolveClaim acts on the outcome of a claim and reports whether the request has ended.
 func (r *run) resolveClaim(ctx context.Context, c Claim, body uint64) bool {
 	switch {
-	case c.State == ClaimDown && (r.Claims.remembered(c.key.Sort) || r.Peers.AnyoneRan(ctx, c.key.Sort)):
+	case c.State == ClaimDown && (r.Claims.mayHaveSent(c.key.Sort) || r.Peers.AnyoneRan(ctx, c.key.Sort)):
 		r.end(ctx, code.New(code.UnknownOutcome, "it was sent before, and the table is unavailable").After(2*time.Second))
 	case c.State == ClaimDown:
 		r.refuse(code.New(code.ClaimStore, "the table is unavailable").After(2 * time.Second))
@@ -340,7 +340,7 @@
 	case c.Row.Body != body:
 		r.refuse(code.New(code.KeyReused, "the key was used before with another body"))
 	case c.State == ClaimAnswered && c.Row.Answer != nil:
-		r.a.load(*c.Row.Answer)
+		r.a.restore(*c.Row.Answer)
 		r.Count.Complete.Add(1)
 		r.log.Infof("claim: %s answered from the stored answer", r.r.ID)
 	case c.State == ClaimAnswered:
--- a/request/settle.go
+++ b/request/settle.go
@@ -124,7 +124,7 @@
 	if r.attempts > 1 || n < 4 {
 		return 0, false
 	}
-	return now.Sub(r.a.firstAt()) / time.Duration(n-1), true
+	return now.Sub(r.a.firstTokenAt()) / time.Duration(n-1), true
 }
 
 // prepareRetry prepares the next attempt: it charges the retry budget and waits for the backoff.
@@ -184,7 +184,7 @@
 		return
 	}
 	u := r.a.Usage()
-	first := r.a.firstAt().Sub(r.started)
+	first := r.a.firstTokenAt().Sub(r.started)
 	if r.attempts == 1 {
 		r.work.Speed.Answered(first, now.Sub(r.started), u.CompletionTokens, u.PromptTokens-u.Details.CachedTokens)
 	}
