--- a/request/answer.go
+++ b/request/answer.go
@@ -85,7 +85,7 @@
 	if !strings.HasSuffix(c.ID, a.attempt) {
 		return errOtherRequest
 	}
-	if err := a.takePrompt(c.Prompt); err != nil {
+	if err := a.setPrompt(c.Prompt); err != nil {
 		return err
 	}
 	if c.Usage != nil && a.snap.Cached == 0 {
@@ -107,9 +107,9 @@
 	return a.append(now, c)
 }
 
-// takePrompt stores the prompt's token ids, or checks that their number matches the
+// setPrompt stores the prompt's token ids, or checks that their number matches the
 // tokens that were sent.
-func (a *Answer) takePrompt(prompt []int) error {
+func (a *Answer) setPrompt(prompt []int) error {
 	if len(prompt) == 0 {
 		return nil
 	}
@@ -136,7 +136,7 @@
 	a.snap.Text = append(a.snap.Text, c.Text...)
 	a.snap.Ends = append(a.snap.Ends, len(a.snap.Text))
 	a.snap.Marks = append(a.snap.Marks, len(a.snap.Tokens))
-	a.wake()
+	a.notifyReaders()
 	return nil
 }
 
@@ -150,9 +150,9 @@
 	return nil
 }
 
-// full reports whether the answer has all requested tokens, so that only the end
+// hasAllTokens reports whether the answer has all requested tokens, so that only the end
 // marker can be missing. It then sets the finish reason.
-func (a *Answer) full() bool {
+func (a *Answer) hasAllTokens() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.Max == 0 || len(a.snap.Tokens) < a.Max {
@@ -162,18 +162,18 @@
 	return true
 }
 
-// emitted returns the number of tokens received.
-func (a *Answer) emitted() int {
+// tokenCount returns the number of tokens received.
+func (a *Answer) tokenCount() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return len(a.snap.Tokens)
 }
 
-// stake returns the progress of the answer, from which its move is planned.
-func (a *Answer) stake(now time.Time) Stake {
+// streamState returns the progress of the answer, from which its move is planned.
+func (a *Answer) streamState(now time.Time) StreamState {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	s := Stake{Context: len(a.snap.Prompt) + len(a.snap.Tokens)}
+	s := StreamState{Context: len(a.snap.Prompt) + len(a.snap.Tokens)}
 	if a.Max > 0 {
 		s.Left = a.Max - len(a.snap.Tokens)
 	}
@@ -191,18 +191,18 @@
 		return
 	}
 	a.snap.Done, a.err = true, err
-	a.wake()
+	a.notifyReaders()
 }
 
-// takePlain sets the complete answer of a plain call.
-func (a *Answer) takePlain(p conn.Answer) {
+// setPlain sets the complete answer of a plain call.
+func (a *Answer) setPlain(p conn.Answer) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.snap.Plain = &p
 }
 
-// wake notifies the readers. The caller holds mu.
-func (a *Answer) wake() {
+// notifyReaders notifies the readers. The caller holds mu.
+func (a *Answer) notifyReaders() {
 	for _, r := range a.readers {
 		select {
 		case r <- struct{}{}:
--- a/request/attempt.go
+++ b/request/attempt.go
@@ -89,7 +89,7 @@
 			return c, nil
 		}
 		if ok {
-			r.giveBackTrial(c)
+			r.returnTrial(c)
 			continue // routing skips the endpoint until its rate limit allows the next request
 		}
 		pause := routeWait
@@ -278,7 +278,7 @@
 	for {
 		ch, err := st.Next()
 		if err != nil {
-			if r.a.full() {
+			if r.a.hasAllTokens() {
 				r.succeeded = true
 				return EndedComplete, nil
 			}
@@ -347,6 +347,6 @@
 		r.work.Queue.Limit.Sample(r.Now(), r.Now().Sub(r.started), running)
 	}
 	r.succeeded = ans.Status < http.StatusMultipleChoices
-	r.a.takePlain(ans)
+	r.a.setPlain(ans)
 	return EndedComplete, nil
 }
--- a/request/life_test.go
+++ b/request/life_test.go
@@ -44,9 +44,9 @@
 	})
 }
 
-func TestTriage(t *testing.T) {
+func TestPlanMoves(t *testing.T) {
 	deadline := start.Add(2 * time.Second)
-	stakes := []request.Stake{
+	stakes := []request.StreamState{
 		{Context: 500, Left: 50, Rate: 100},                // finishes in half a second
 		{Context: 4000, Left: 1000, Rate: 100},             // a large context
 		{Context: 60000, Left: 1000, Rate: 100},            // too large for the bandwidth
@@ -54,7 +54,7 @@
 		{Context: 4000, Left: 1000, Rate: 1, Pinned: true}, // must not move
 		{Context: 700}, // remaining tokens unknown
 	}
-	moves := request.Triage(start, deadline, stakes, request.MoveParams{Policy: request.MoveOurs, Transfer: 20000})
+	moves := request.PlanMoves(start, deadline, stakes, request.MoveParams{Policy: request.MoveOurs, Transfer: 20000})
 	var kinds []string
 	for _, m := range moves {
 		kinds = append(kinds, m.Kind.String())
@@ -66,7 +66,7 @@
 	assert.Equal(t, []string{"finish", "export", "resume", "resume", "finish", "export"}, kinds)
 }
 
-func TestClassesDoNotSwing(t *testing.T) {
+func TestLoadClassHysteresis(t *testing.T) {
 	assert.Equal(t, request.Unknown, request.ClassOf(request.Idle, 3, 0))
 	c := request.Idle
 	changes := 0
--- a/request/move.go
+++ b/request/move.go
@@ -23,8 +23,8 @@
 	MoveExport  MovePolicy = "export"  // always with a transfer of the KV cache
 )
 
-// Stake describes a stream on a leaving endpoint: what a move of it costs and how soon it finishes.
-type Stake struct {
+// StreamState describes a stream on a leaving endpoint: what a move of it costs and how soon it finishes.
+type StreamState struct {
 	Context int     // tokens of the prompt and of the answer so far
 	Left    int     // maximum number of remaining tokens; 0 if not known
 	Rate    float64 // tokens per second
@@ -39,7 +39,7 @@
 	StayAndFinish MoveKind = iota
 	ExportKV
 	ResumeTokens
-	StartAgain
+	RestartFromPrompt
 )
 
 // String returns the kind's name.
@@ -66,21 +66,21 @@
 	// cutShare is the share of the notice period over which all other streams are
 	// cancelled, so that their prefill elsewhere comes neither all at once nor too late.
 	cutShare = 0.5
-	// waveSettle is the maximum delay before the first move, to wait for further notices.
-	waveSettle = 100 * time.Millisecond
-	// exportMin is the context in tokens below which recomputation costs less than the
+	// moveDelay is the maximum delay before the first move, to wait for further notices.
+	moveDelay = 100 * time.Millisecond
+	// minExportContext is the context in tokens below which recomputation costs less than the
 	// calls of an export.
-	exportMin = 128
+	minExportContext = 128
 )
 
-// Triage plans a move for each stream on an endpoint that leaves at the deadline.
+// PlanMoves plans a move for each stream on an endpoint that leaves at the deadline.
 // The result has one Move for each stake, in the same order.
-func Triage(now, deadline time.Time, stakes []Stake, p MoveParams) []Move {
+func PlanMoves(now, deadline time.Time, stakes []StreamState, p MoveParams) []Move {
 	notice := deadline.Sub(now)
 	moves := make([]Move, len(stakes))
 	var rest []int
 	for i, s := range stakes {
-		if s.Pinned || finishes(s, time.Duration(finishShare*float64(notice))) {
+		if s.Pinned || finishesWithin(s, time.Duration(finishShare*float64(notice))) {
 			moves[i] = Move{Kind: StayAndFinish}
 			continue
 		}
@@ -91,13 +91,13 @@
 	window := time.Duration(cutShare * float64(notice))
 	// Notices of several boxes arrive one after the other. A short delay avoids an
 	// export to a box that is about to get its own notice.
-	settle := min(waveSettle, notice/20)
+	settle := min(moveDelay, notice/20)
 	var exported time.Duration
 	for n, i := range rest {
 		moves[i] = Move{Kind: ResumeTokens, At: now.Add(settle + window*time.Duration(n)/time.Duration(len(rest)))}
 		switch p.Policy {
 		case MoveRestart:
-			moves[i].Kind = StartAgain
+			moves[i].Kind = RestartFromPrompt
 			continue
 		case MoveResume:
 			continue
@@ -105,7 +105,7 @@
 		// A context of 0 means that the prefill is still running. The export waits
 		// for it, since recomputation would repeat all of it.
 		known := stakes[i].Context > 0
-		if p.Transfer <= 0 || (known && stakes[i].Context < exportMin && p.Policy != MoveExport) {
+		if p.Transfer <= 0 || (known && stakes[i].Context < minExportContext && p.Policy != MoveExport) {
 			continue
 		}
 		d := time.Duration(float64(stakes[i].Context) / p.Transfer * float64(time.Second))
@@ -118,8 +118,8 @@
 	return moves
 }
 
-// finishes reports whether a stream is expected to finish in time.
-func finishes(s Stake, within time.Duration) bool {
+// finishesWithin reports whether a stream is expected to finish in time.
+func finishesWithin(s StreamState, within time.Duration) bool {
 	return s.Left > 0 && s.Rate > 0 && time.Duration(float64(s.Left)/s.Rate*float64(time.Second)) <= within
 }
 
@@ -139,9 +139,9 @@
 	prefer  *Target
 }
 
-// Stake returns the state of the attempt's stream for Triage.
-func (f *Flight) Stake(now time.Time) Stake {
-	s := f.answer.stake(now)
+// StreamState returns the state of the attempt's stream for Triage.
+func (f *Flight) StreamState(now time.Time) StreamState {
+	s := f.answer.streamState(now)
 	s.Pinned = f.pinned
 	return s
 }
--- a/request/notice.go
+++ b/request/notice.go
@@ -37,17 +37,17 @@
 		}
 	}
 	for _, d := range ds {
-		s.depart(now, d)
+		s.planMoves(now, d)
 	}
 }
 
-// depart plans and schedules the moves of the streams of one endpoint.
-func (s *Server) depart(now time.Time, d departure) {
-	stakes := make([]Stake, len(d.flights))
+// planMoves plans and schedules the moves of the streams of one endpoint.
+func (s *Server) planMoves(now time.Time, d departure) {
+	stakes := make([]StreamState, len(d.flights))
 	for i, f := range d.flights {
-		stakes[i] = f.Stake(now)
+		stakes[i] = f.StreamState(now)
 	}
-	moves := Triage(now, d.deadline, stakes, MoveParams{Policy: s.opts.Move, Transfer: s.opts.Transfer})
+	moves := PlanMoves(now, d.deadline, stakes, MoveParams{Policy: s.opts.Move, Transfer: s.opts.Transfer})
 	for i, m := range moves {
 		s.log.Infof("move: %s off %s in %s: %s, context %d, left %d, at +%s", d.flights[i].answer.ID, d.target.ID,
 			d.deadline.Sub(now).Round(time.Millisecond), m.Kind, stakes[i].Context, stakes[i].Left, m.At.Sub(now))
@@ -62,7 +62,7 @@
 	case ExportKV:
 		time.AfterFunc(max(m.At.Sub(now), clock.LeastTimer), func() { s.export(w, t, f) })
 	default:
-		time.AfterFunc(max(m.At.Sub(now), clock.LeastTimer), func() { f.Cut(nil, m.Kind == StartAgain) })
+		time.AfterFunc(max(m.At.Sub(now), clock.LeastTimer), func() { f.Cut(nil, m.Kind == RestartFromPrompt) })
 	}
 }
 
--- a/request/print_test.go
+++ b/request/print_test.go
@@ -13,7 +13,7 @@
 
 // The fingerprint of a request covers its content and its team, but nothing that differs between a
 // caller's retries.
-func TestAPrintIsOfWhatIsAskedFor(t *testing.T) {
+func TestFingerprintCoversContentAndTeam(t *testing.T) {
 	ask := func(change func(r *request.Request)) crash.Print {
 		r := &request.Request{ID: "id-1", Team: "team", Method: "POST", Path: "/p/?q=1", Body: []byte("body"), Relay: &request.Relay{Host: "host"}}
 		change(r)
--- a/request/server.go
+++ b/request/server.go
@@ -242,7 +242,7 @@
 	if done := r.takeClaim(ctx); done {
 		return
 	}
-	if r.a.full() {
+	if r.a.hasAllTokens() {
 		r.complete(r.Now()) // the handed-over answer is already complete
 		return
 	}
@@ -355,7 +355,7 @@
 func (r *run) refuse(err *code.Error) {
 	refused := !r.life.Tainted && r.life.apply(eventRefuse)
 	if refused {
-		r.unsent()
+		r.uncountTrial()
 		r.Count.Refused.Add(1)
 	} else {
 		// Something has been sent, so "not run" would be wrong.
--- a/request/server_test.go
+++ b/request/server_test.go
@@ -24,8 +24,8 @@
 	"streambend.example/version"
 )
 
-// office runs request servers in front of the same engines.
-type office struct {
+// testCluster runs request servers in front of the same engines.
+type testCluster struct {
 	net     *standin.Net
 	table   *standin.Memory
 	ledger  *standin.Ledger
@@ -39,8 +39,8 @@
 	Routes: []version.Route{{Name: "digest"}, {Name: "tag", Unrepeatable: true}},
 }
 
-func newOffice(faults []standin.EngineFault) *office {
-	o := &office{net: standin.NewNet(), table: standin.NewMemory(), ledger: standin.NewLedger(), servers: make(map[string]*request.Server)}
+func newTestCluster(faults []standin.EngineFault) *testCluster {
+	o := &testCluster{net: standin.NewNet(), table: standin.NewMemory(), ledger: standin.NewLedger(), servers: make(map[string]*request.Server)}
 	for i, f := range faults {
 		e := standin.NewEngine(o.net, fmt.Sprint(i), standin.EngineConfig{Batch: 16, Step: time.Millisecond, Prefill: 1e6, CacheBlocks: 100, Transfer: 1e6}, o.ledger)
 		e.SetFault(f)
@@ -50,7 +50,7 @@
 }
 
 // start starts a server, and first stops the running one of the same name.
-func (o *office) start(name string) *request.Server {
+func (o *testCluster) start(name string) *request.Server {
 	o.kill(name)
 	o.starts++
 	log := logrus.New()
@@ -67,7 +67,7 @@
 	return s
 }
 
-func (o *office) kill(name string) {
+func (o *testCluster) kill(name string) {
 	for self, s := range o.servers {
 		if strings.HasPrefix(self, name+"#") {
 			s.Kill()
@@ -78,7 +78,7 @@
 	}
 }
 
-func (o *office) close() {
+func (o *testCluster) close() {
 	for self := range o.servers {
 		o.kill(strings.Split(self, "#")[0])
 	}
@@ -88,7 +88,7 @@
 }
 
 // AskClaim implements request.Peers.
-func (o *office) AskClaim(_ context.Context, holder, name string) request.HolderState {
+func (o *testCluster) AskClaim(_ context.Context, holder, name string) request.HolderState {
 	if s := o.servers[holder]; s != nil {
 		return s.AnswerClaim(name)
 	}
@@ -96,7 +96,7 @@
 }
 
 // AnyoneRan implements request.Peers.
-func (o *office) AnyoneRan(_ context.Context, name string) bool {
+func (o *testCluster) AnyoneRan(_ context.Context, name string) bool {
 	for _, s := range o.servers {
 		if st := s.AnswerClaim(name); st == request.HolderRan || st == request.HolderRunning {
 			return true
@@ -106,10 +106,10 @@
 }
 
 // RecentStop implements request.Peers.
-func (o *office) RecentStop(time.Time) bool { return false }
+func (o *testCluster) RecentStop(time.Time) bool { return false }
 
 // TakeOver implements request.Peers.
-func (o *office) TakeOver(context.Context, string) (request.Snapshot, bool) {
+func (o *testCluster) TakeOver(context.Context, string) (request.Snapshot, bool) {
 	return request.Snapshot{}, false
 }
 
@@ -136,7 +136,7 @@
 	}
 }
 
-func want(id string) string {
+func wantText(id string) string {
 	var sb strings.Builder
 	for _, t := range standin.Want("the prompt of "+id, tokens) {
 		fmt.Fprintf(&sb, "w%d ", t)
@@ -181,7 +181,7 @@
 		var texts [6]string
 		var errs [6]error
 		synctest.Test(t, func(*testing.T) {
-			o := newOffice(faults)
+			o := newTestCluster(faults)
 			defer o.close()
 			s := o.start("a")
 			for i := range texts {
@@ -189,25 +189,25 @@
 			}
 		})
 		for i, text := range texts {
-			if errs[i] != nil || text != want(fmt.Sprint("r", i)) {
+			if errs[i] != nil || text != wantText(fmt.Sprint("r", i)) {
 				rt.Fatalf("request %d: %v, %q", i, errs[i], text)
 			}
 		}
 	})
 }
 
-// TestSlowEngineIsEjectedAndLetBackIn runs one of four engines at a tenth of its
+// TestSlowEngineIsEjectedAndReadmitted runs one of four engines at a tenth of its
 // speed, and later at full speed again.
-func TestSlowEngineIsEjectedAndLetBackIn(t *testing.T) {
+func TestSlowEngineIsEjectedAndReadmitted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		o := newOffice([]standin.EngineFault{{SlowTimes: 10}, {}, {}, {}})
+		o := newTestCluster([]standin.EngineFault{{SlowTimes: 10}, {}, {}, {}})
 		defer o.close()
 		s := o.start("a")
 		send := func(from, to int) {
 			for i := from; i < to; i++ {
 				text, err := answer(s, newRequest("digest", fmt.Sprint("r", i), ""))
 				require.NoError(t, err)
-				require.Equal(t, want(fmt.Sprint("r", i)), text)
+				require.Equal(t, wantText(fmt.Sprint("r", i)), text)
 				s.Works.Tick(time.Now(), 1)
 			}
 		}
@@ -247,7 +247,7 @@
 
 // claimOracle checks the answer of each call against the runs that engines recorded.
 type claimOracle struct {
-	o     *office
+	o     *testCluster
 	lost  bool // a server that may have run a request was restarted
 	wrong []string
 }
@@ -260,7 +260,7 @@
 	switch {
 	case after > 1:
 		c.wrong = append(c.wrong, fmt.Sprintf("%s started %d times", id, after))
-	case err == nil && text != want(id):
+	case err == nil && text != wantText(id):
 		c.wrong = append(c.wrong, fmt.Sprintf("%s answered %q", id, text))
 	case code.Of(err) == code.ClaimStore && c.lost:
 		// Only a daemon that has ended knew that an earlier call had run; this call
@@ -308,7 +308,7 @@
 		script := rapid.SliceOfN(claimSteps, 5, 25).Draw(rt, "script")
 		var wrong []string
 		synctest.Test(t, func(*testing.T) {
-			o := newOffice([]standin.EngineFault{{}})
+			o := newTestCluster([]standin.EngineFault{{}})
 			defer o.close()
 			servers := make(map[string]*request.Server)
 			for _, name := range []string{"a", "b", "c"} {
@@ -328,7 +328,7 @@
 
 func TestRepeatedKeyGetsTheStoredAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		o := newOffice([]standin.EngineFault{{}})
+		o := newTestCluster([]standin.EngineFault{{}})
 		defer o.close()
 		first, err := answer(o.start("a"), newRequest("tag", "k", "k"))
 		require.NoError(t, err)
@@ -345,7 +345,7 @@
 
 func TestTableDownRefusesUnrepeatableAtOnceAndServesTheRest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		o := newOffice([]standin.EngineFault{{}})
+		o := newTestCluster([]standin.EngineFault{{}})
 		defer o.close()
 		s := o.start("a")
 		o.table.Faults.Set(standin.Fault{Down: true})
@@ -355,6 +355,6 @@
 		assert.Less(t, time.Since(began), 100*time.Millisecond)
 		text, err := answer(s, newRequest("digest", "d", "d"))
 		require.NoError(t, err)
-		assert.Equal(t, want("d"), text)
+		assert.Equal(t, wantText("d"), text)
 	})
 }
--- a/request/settle.go
+++ b/request/settle.go
@@ -48,7 +48,7 @@
 	}
 	v := r.opts.judge(now, &a)
 	r.life.Tainted = a.Tainted
-	if v.Action == Again && r.a.full() {
+	if v.Action == Again && r.a.hasAllTokens() {
 		v = Verdict{Action: Finish}
 	}
 	if v.Action != Finish {
@@ -120,7 +120,7 @@
 	if !r.r.IsModel() {
 		return now.Sub(r.started), true
 	}
-	n := r.a.emitted()
+	n := r.a.tokenCount()
 	if r.attempts > 1 || n < 4 {
 		return 0, false
 	}
--- a/request/trial.go
+++ b/request/trial.go
@@ -156,16 +156,16 @@
 	return c, false
 }
 
-// giveBackTrial reverts the assignment of a request to the version on trial when its endpoint may
+// returnTrial reverts the assignment of a request to the version on trial when its endpoint may
 // not be sent the request, which then goes to the service's own version.
-func (r *run) giveBackTrial(c Choice) {
+func (r *run) returnTrial(c Choice) {
 	if r.opts.Trials != nil && c.Target.Role() == rollout.Trial {
 		r.opts.Trials.Return(r.trialAsk())
 	}
 }
 
-// unsent reverts the count of a request that is refused without having been sent.
-func (r *run) unsent() {
+// uncountTrial reverts the count of a request that is refused without having been sent.
+func (r *run) uncountTrial() {
 	if r.trialDecided && r.attempts == 0 {
 		r.opts.Trials.Unsent(r.trialAsk())
 	}
