--- a/request/ends.go
+++ b/request/ends.go
@@ -36,8 +36,8 @@
 	interrupted map[*Target][]crash.Flight // interrupted requests of the endpoints to be probed
 }
 
-// closed records that an endpoint has closed the connection of a request, and schedules a probe.
-func (x *endDetector) closed(ctx context.Context, t *Target, f crash.Flight) {
+// connectionClosed records that an endpoint has connectionClosed the connection of a request, and schedules a probe.
+func (x *endDetector) connectionClosed(ctx context.Context, t *Target, f crash.Flight) {
 	if _, leaving := t.Leaving(); leaving {
 		return // a planned end
 	}
@@ -49,12 +49,12 @@
 	_, looking := x.interrupted[t]
 	x.interrupted[t] = append(x.interrupted[t], f)
 	if !looking {
-		time.AfterFunc(gatherWindow, func() { x.look(ctx, t) })
+		time.AfterFunc(gatherWindow, func() { x.probe(ctx, t) })
 	}
 }
 
-// look probes an endpoint and reports it as ended if it refuses connections.
-func (x *endDetector) look(ctx context.Context, t *Target) {
+// probe probes an endpoint and reports it as ended if it refuses connections.
+func (x *endDetector) probe(ctx context.Context, t *Target) {
 	x.mu.Lock()
 	flights := x.interrupted[t]
 	delete(x.interrupted, t)
--- a/request/holdtime.go
+++ b/request/holdtime.go
@@ -19,9 +19,9 @@
 	maxPrefillShare = 1.2
 	// holdDecay is the decay of the weights per answer: about the last fifty answers count.
 	holdDecay = 0.98
-	// priorHeld and priorPrefillSquared are the weights of the two initial estimates: the tokens of about one
+	// priorSlotTokens and priorPrefillSquared are the weights of the two initial estimates: the tokens of about one
 	// answer, and the squared prefill seconds of about four.
-	priorHeld, priorPrefillSquared = 300, 1
+	priorSlotTokens, priorPrefillSquared = 300, 1
 )
 
 // holdTime estimates how long an answer holds its slot at an engine: a time per expected token plus
@@ -57,7 +57,7 @@
 
 // solve fits the seconds per token and the share of prefill time to the sums. The caller holds mu.
 func (h *holdTime) solve() (token, beside float64) {
-	t, w := h.t+priorHeld, h.w+priorHeld*initialTokenTime.Seconds()
+	t, w := h.t+priorSlotTokens, h.w+priorSlotTokens*initialTokenTime.Seconds()
 	up := h.rw - h.rt*w/t + priorPrefillSquared*initialPrefillShare
 	down := h.rr - h.rt*h.r/t + priorPrefillSquared
 	beside = math.Min(math.Max(up/math.Max(down, priorPrefillSquared), 0), maxPrefillShare)
--- a/request/settle.go
+++ b/request/settle.go
@@ -35,7 +35,7 @@
 	}
 	if conn.EndpointClosed(failure) || errors.Is(failure, errNewStart) && e == EndedBroken {
 		r.Count.CutOff.Add(1)
-		r.ends.closed(r.baseCtx, t, crash.Flight{Print: r.print, For: now.Sub(r.started)})
+		r.ends.connectionClosed(r.baseCtx, t, crash.Flight{Print: r.print, For: now.Sub(r.started)})
 	}
 	if !errors.Is(failure, errStaleList) && !errors.Is(failure, errBarred) {
 		r.recordOutcome(now, t, e)
