--- a/request/doc.go
+++ b/request/doc.go
@@ -12,6 +12,6 @@
 //	changed, stop := ans.Follow()           // receives whenever ans has grown
 //	events, done, err := ans.Events(0, nil) // all events so far
 //
-// The decisions (Pool.Route, Queue.Enter, Triage, Classify) take the current
+// The decisions (Pool.Route, Queue.Enter, PlanMoves, Classify) take the current
 // time as an argument and do no I/O.
 package request
--- a/request/ends.go
+++ b/request/ends.go
@@ -32,7 +32,7 @@
 	log    *logrus.Entry
 	report func(now time.Time, e crash.End)
 
-	mu   sync.Mutex
+	mu          sync.Mutex
 	interrupted map[*Target][]crash.Flight // interrupted requests of the endpoints to be probed
 }
 
--- a/request/holds.go
+++ b/request/holds.go
@@ -33,7 +33,7 @@
 	Ledger crash.Ledger
 
 	share    HoldShare
-	onEnd     func(now time.Time, endpoint string) // is called for each end
+	onEnd    func(now time.Time, endpoint string) // is called for each end
 	log      *logrus.Entry
 	now      func() time.Time
 	ctx      context.Context // ends with the daemon
--- a/request/kept.go
+++ b/request/kept.go
@@ -11,7 +11,7 @@
 
 // answerCache holds the running and recently finished answers, which repeated calls join by their key.
 type answerCache struct {
-	ttl time.Duration
+	ttl         time.Duration
 	maxFinished int
 
 	mu     sync.Mutex
@@ -19,14 +19,14 @@
 	done   []*cacheEntry // finished, the oldest first
 }
 
-// cacheEntry is an entry of keptAnswers.
+// cacheEntry is an entry of answerCache.
 type cacheEntry struct {
-	name string
-	body uint64
-	a    *Answer
-	r    *Request
-	finishedAt   time.Time // when it finished
-	finished bool
+	name       string
+	body       uint64
+	a          *Answer
+	r          *Request
+	finishedAt time.Time // when it finished
+	finished   bool
 }
 
 func (k *answerCache) init(o Options) {
--- a/request/life.go
+++ b/request/life.go
@@ -28,22 +28,22 @@
 
 // The events of a Life.
 const (
-	eventQueue    = "queue"
-	eventAccept   = "accept"
-	eventClaim    = "claim"
-	eventSend     = "send"
-	eventUndoSend   = "unsend" // the endpoint was not reached or did not start the request
-	eventStream   = "stream"
-	eventMove     = "move"
-	eventComplete = "complete"
-	eventLate     = "late"
-	eventRefuse   = "refuse" // refused as not run
-	eventLoseOutcome     = "lose"   // the outcome is unknown
+	eventQueue       = "queue"
+	eventAccept      = "accept"
+	eventClaim       = "claim"
+	eventSend        = "send"
+	eventUndoSend    = "unsend" // the endpoint was not reached or did not start the request
+	eventStream      = "stream"
+	eventMove        = "move"
+	eventComplete    = "complete"
+	eventLate        = "late"
+	eventRefuse      = "refuse" // refused as not run
+	eventLoseOutcome = "lose"   // the outcome is unknown
 )
 
 // lifeEvents are the transitions of a Life. A refusal as "not run" is possible
 // only while nothing has been sent, or after an attempt that did not start was
-// undone by eventUnsend.
+// undone by eventUndoSend.
 var lifeEvents = fsm.Events{
 	{Name: eventQueue, Src: []string{StateReceived}, Dst: StateQueued},
 	{Name: eventAccept, Src: []string{StateReceived, StateQueued}, Dst: StateAccepted},
@@ -83,12 +83,12 @@
 // The outcomes of an attempt.
 const (
 	EndedComplete   Ending = iota // the answer is complete
-	EndedMoved                 // cancelled by this daemon, to continue at another endpoint
-	EndedUnsent                // no byte can have reached the endpoint
-	EndedRefused               // the endpoint reported that it did not start the request
-	EndedBroken                // cut off, stalled, truncated or malformed
-	EndedError                 // the endpoint answered with an error
-	EndedCallerGone                  // the caller disconnected
+	EndedMoved                    // cancelled by this daemon, to continue at another endpoint
+	EndedUnsent                   // no byte can have reached the endpoint
+	EndedRefused                  // the endpoint reported that it did not start the request
+	EndedBroken                   // cut off, stalled, truncated or malformed
+	EndedError                    // the endpoint answered with an error
+	EndedCallerGone               // the caller disconnected
 )
 
 // String returns the name of the outcome.
--- a/request/move.go
+++ b/request/move.go
@@ -53,7 +53,7 @@
 	At   time.Time
 }
 
-// MoveParams are the parameters of Triage.
+// MoveParams are the parameters of PlanMoves.
 type MoveParams struct {
 	Policy   MovePolicy
 	Transfer float64 // KV cache tokens that an endpoint exports per second
@@ -74,7 +74,7 @@
 )
 
 // PlanMoves plans a move for each stream on an endpoint that leaves at the deadline.
-// The result has one Move for each stake, in the same order.
+// The result has one Move for each stream, in the same order.
 func PlanMoves(now, deadline time.Time, stakes []StreamState, p MoveParams) []Move {
 	notice := deadline.Sub(now)
 	moves := make([]Move, len(stakes))
@@ -139,7 +139,7 @@
 	prefer  *Target
 }
 
-// StreamState returns the state of the attempt's stream for Triage.
+// StreamState returns the state of the attempt's stream for PlanMoves.
 func (f *Flight) StreamState(now time.Time) StreamState {
 	s := f.answer.streamState(now)
 	s.Pinned = f.pinned
--- a/request/relay.go
+++ b/request/relay.go
@@ -68,9 +68,9 @@
 	Measured     func(first, expected time.Duration) // called with an attempt's time to its first event; may be nil
 
 	headWritten   bool  // the answer's head has been written to the caller
-	lastEvent   int64 // id of the last event written to the caller
-	startRecorded  bool
-	failed *failedAnswer
+	lastEvent     int64 // id of the last event written to the caller
+	startRecorded bool
+	failed        *failedAnswer
 }
 
 // failedAnswer is an error answer signed by an endpoint, kept in case that no other
@@ -108,10 +108,10 @@
 var (
 	errOtherAnswer = errors.New("request: answer belongs to another request")
 	errUnsigned    = errors.New("request: answer is not signed by the endpoint")
-	errEventOrder       = errors.New("request: stream event missing or duplicated")
-	errStaleList     = errors.New("request: endpoint list became too old before the endpoint was reached")
-	errDeadline        = errors.New("request: deadline exceeded")
-	errCallerWrite      = errors.New("request: writing to the caller failed")
+	errEventOrder  = errors.New("request: stream event missing or duplicated")
+	errStaleList   = errors.New("request: endpoint list became too old before the endpoint was reached")
+	errDeadline    = errors.New("request: deadline exceeded")
+	errCallerWrite = errors.New("request: writing to the caller failed")
 )
 
 // attemptRelay sends the request to one endpoint and forwards its answer.
@@ -170,18 +170,18 @@
 	// minAnswerTime is the minimum time given to an endpoint to answer before a
 	// repeatable request is retried elsewhere.
 	minAnswerTime = 250 * time.Millisecond
-	// stallFactor and stallLeast define the stall timeout of a stream: stallFactor times
-	// the longest pause that counts as in time, at least stallLeast.
-	stallFactor = 2
+	// stallFactor and minStallTimeout define the stall timeout of a stream: stallFactor times
+	// the longest pause that counts as in time, at least minStallTimeout.
+	stallFactor     = 2
 	minStallTimeout = time.Second
 )
 
 // watchdog cancels an attempt when its endpoint stops sending data. Its zero value
 // does nothing.
 type watchdog struct {
-	timer *time.Timer
-	stall time.Duration
-	stopped  *atomic.Bool // the attempt has ended; checked by the timer, which may fire concurrently with stop
+	timer   *time.Timer
+	stall   time.Duration
+	stopped *atomic.Bool // the attempt has ended; checked by the timer, which may fire concurrently with stop
 }
 
 func (w watchdog) stop() {
--- a/request/server.go
+++ b/request/server.go
@@ -52,14 +52,14 @@
 	Count  Counters
 	Holds  *Holds
 
-	ends   endDetector
-	active activeRuns
-	opts   Options
-	log    *logrus.Entry
-	kept   answerCache
-	wg     sync.WaitGroup
-	baseCtx  context.Context
-	kill   context.CancelFunc
+	ends    endDetector
+	active  activeRuns
+	opts    Options
+	log     *logrus.Entry
+	kept    answerCache
+	wg      sync.WaitGroup
+	baseCtx context.Context
+	kill    context.CancelFunc
 }
 
 // Counters count requests by outcome, and their moves and retries.
@@ -204,25 +204,25 @@
 	life *Life
 	work *Work
 
-	print crash.Print
+	print     crash.Print
 	holdTrial bool // the request is held back, and this is its trial
-	succeeded  bool // the last attempt returned a complete and successful answer
+	succeeded bool // the last attempt returned a complete and successful answer
 
-	signedFailure bool // the last attempt returned a failure signed by the endpoint
-	claim      Claim
-	claimed    bool
-	ticket     Ticket
-	started    time.Time     // when the last attempt was sent
-	expected   time.Duration // time to its first event, as predicted; 0 if not known
-	first      time.Duration // time to its first event, as measured; 0 before it
-	events     int           // events of its stream so far
-	trialDecided      bool          // it is decided whether the request goes to a version on trial
+	signedFailure   bool // the last attempt returned a failure signed by the endpoint
+	claim           Claim
+	claimed         bool
+	ticket          Ticket
+	started         time.Time     // when the last attempt was sent
+	expected        time.Duration // time to its first event, as predicted; 0 if not known
+	first           time.Duration // time to its first event, as measured; 0 before it
+	events          int           // events of its stream so far
+	trialDecided    bool          // it is decided whether the request goes to a version on trial
 	retryCharged    atomic.Bool   // the next retry has already been charged to the budget
-	attempts   int
-	startedAttempts       int // attempts that an endpoint may have started
-	avoid      *Target
-	prefer     *Target
-	restart    bool
+	attempts        int
+	startedAttempts int // attempts that an endpoint may have started
+	avoid           *Target
+	prefer          *Target
+	restart         bool
 }
 
 func (s *Server) newRun(r *Request, a *Answer) *run {
--- a/request/settle.go
+++ b/request/settle.go
@@ -16,7 +16,7 @@
 )
 
 const (
-	backoffStep  = 10 * time.Millisecond
+	backoffStep     = 10 * time.Millisecond
 	longBackoffStep = 250 * time.Millisecond // base of the backoff once the retry budget is empty
 )
 
--- a/request/wake.go
+++ b/request/wake.go
@@ -11,7 +11,7 @@
 // activeRuns holds the cancel functions of the running requests, for when a box resumes from suspension.
 // The requests' timers do not advance while it is suspended.
 type activeRuns struct {
-	mu  sync.Mutex
+	mu      sync.Mutex
 	cancels map[*run]context.CancelFunc
 }
 
