--- a/request/move.go
+++ b/request/move.go
@@ -75,11 +75,11 @@
 
 // PlanMoves plans a move for each stream on an endpoint that leaves at the deadline.
 // The result has one Move for each stream, in the same order.
-func PlanMoves(now, deadline time.Time, stakes []StreamState, p MoveParams) []Move {
+func PlanMoves(now, deadline time.Time, streams []StreamState, p MoveParams) []Move {
 	notice := deadline.Sub(now)
-	moves := make([]Move, len(stakes))
+	moves := make([]Move, len(streams))
 	var rest []int
-	for i, s := range stakes {
+	for i, s := range streams {
 		if s.Pinned || finishesWithin(s, time.Duration(finishShare*float64(notice))) {
 			moves[i] = Move{Kind: StayAndFinish}
 			continue
@@ -87,7 +87,7 @@
 		rest = append(rest, i)
 	}
 	// The largest contexts come first: they get the export bandwidth.
-	slices.SortStableFunc(rest, func(a, b int) int { return cmp.Compare(stakes[b].Context, stakes[a].Context) })
+	slices.SortStableFunc(rest, func(a, b int) int { return cmp.Compare(streams[b].Context, streams[a].Context) })
 	window := time.Duration(cutShare * float64(notice))
 	// Notices of several boxes arrive one after the other. A short delay avoids an
 	// export to a box that is about to get its own notice.
@@ -104,11 +104,11 @@
 		}
 		// A context of 0 means that the prefill is still running. The export waits
 		// for it, since recomputation would repeat all of it.
-		known := stakes[i].Context > 0
-		if p.Transfer <= 0 || (known && stakes[i].Context < minExportContext && p.Policy != MoveExport) {
+		known := streams[i].Context > 0
+		if p.Transfer <= 0 || (known && streams[i].Context < minExportContext && p.Policy != MoveExport) {
 			continue
 		}
-		d := time.Duration(float64(stakes[i].Context) / p.Transfer * float64(time.Second))
+		d := time.Duration(float64(streams[i].Context) / p.Transfer * float64(time.Second))
 		if exported+d > window && p.Policy != MoveExport {
 			continue
 		}
--- a/request/notice.go
+++ b/request/notice.go
@@ -43,14 +43,14 @@
 
 // planMoves plans and schedules the moves of the streams of one endpoint.
 func (s *Server) planMoves(now time.Time, d departure) {
-	stakes := make([]StreamState, len(d.flights))
+	streams := make([]StreamState, len(d.flights))
 	for i, f := range d.flights {
-		stakes[i] = f.StreamState(now)
+		streams[i] = f.StreamState(now)
 	}
-	moves := PlanMoves(now, d.deadline, stakes, MoveParams{Policy: s.opts.Move, Transfer: s.opts.Transfer})
+	moves := PlanMoves(now, d.deadline, streams, MoveParams{Policy: s.opts.Move, Transfer: s.opts.Transfer})
 	for i, m := range moves {
 		s.log.Infof("move: %s off %s in %s: %s, context %d, left %d, at +%s", d.flights[i].answer.ID, d.target.ID,
-			d.deadline.Sub(now).Round(time.Millisecond), m.Kind, stakes[i].Context, stakes[i].Left, m.At.Sub(now))
+			d.deadline.Sub(now).Round(time.Millisecond), m.Kind, streams[i].Context, streams[i].Left, m.At.Sub(now))
 		s.schedule(now, d.work, d.target, d.flights[i], m)
 	}
 }
