--- a/request/enddetector.go
+++ b/request/enddetector.go
@@ -36,7 +36,7 @@
 	interrupted map[*Target][]crash.Flight // interrupted requests of the endpoints to be probed
 }
 
-// connectionClosed records that an endpoint has connectionClosed the connection of a request, and schedules a probe.
+// connectionClosed records that an endpoint has closed the connection of a request, and schedules a probe.
 func (x *endDetector) connectionClosed(ctx context.Context, t *Target, f crash.Flight) {
 	if _, leaving := t.Leaving(); leaving {
 		return // a planned end
--- a/request/holdrows.go
+++ b/request/holdrows.go
@@ -50,7 +50,7 @@
 	return b
 }
 
-// decodeVerdict decodes a verdict encoded by row.
+// decodeVerdict decodes a verdict encoded by encodeVerdict.
 func (h *Holds) decodeVerdict(now time.Time, it seam.Item) (crash.Verdict, error) {
 	p, err := crash.ParsePrint(it.Key.Sort)
 	if err != nil {
--- a/request/holds.go
+++ b/request/holds.go
@@ -65,7 +65,7 @@
 	}
 }
 
-// recordSuccess records that a request was recordSuccess successfully, and clears suspicion of it everywhere.
+// recordSuccess records that a request was answered successfully, and clears suspicion of it everywhere.
 func (h *Holds) recordSuccess(now time.Time, p crash.Print) {
 	_, held := h.Ledger.Held(now, p)
 	if !h.Ledger.Answered(now, p) {
--- a/request/slottime.go
+++ b/request/slottime.go
@@ -19,8 +19,8 @@
 	maxPrefillShare = 1.2
 	// holdDecay is the decay of the weights per answer: about the last fifty answers count.
 	holdDecay = 0.98
-	// priorSlotTokens and priorPrefillSquared are the weights of the two initial estimates: the tokens of about one
-	// answer, and the squared prefill seconds of about four.
+	// priorSlotTokens and priorPrefillSquared are the weights of the two initial estimates: the tokens
+	// of about one answer, and the squared prefill seconds of about four.
 	priorSlotTokens, priorPrefillSquared = 300, 1
 )
 
