--- a/request/notice.go
+++ b/request/notice.go
@@ -9,13 +9,13 @@
 	"streambend.example/clock"
 )
 
-// Leave tells that a box will be gone at a deadline.
+// Leave is the notice that a box will be gone at a deadline.
 type Leave struct {
 	Box      string
 	Deadline time.Time
 }
 
-// departure is an endpoint that has just been marked as leaving.
+// departure is an endpoint newly marked as leaving, with its running attempts.
 type departure struct {
 	work     *Work
 	target   *Target
@@ -23,8 +23,8 @@
 	flights  []*Flight
 }
 
-// Notice brings the streams off endpoints that leave. All are marked before any
-// stream moves, so that none moves to another that is about to leave.
+// Notice moves the streams off leaving endpoints. All endpoints are marked before
+// any stream moves, so that none moves to an endpoint that is also leaving.
 func (s *Server) Notice(now time.Time, leaves []Leave) {
 	var ds []departure
 	for _, l := range leaves {
@@ -37,39 +37,39 @@
 		}
 	}
 	for _, d := range ds {
-		s.depart(now, d)
+		s.planMoves(now, d)
 	}
 }
 
-// depart decides for the streams of one endpoint.
-func (s *Server) depart(now time.Time, d departure) {
-	stakes := make([]Stake, len(d.flights))
+// planMoves plans and schedules the moves of the streams of one endpoint.
+func (s *Server) planMoves(now time.Time, d departure) {
+	streams := make([]StreamState, len(d.flights))
 	for i, f := range d.flights {
-		stakes[i] = f.Stake(now)
+		streams[i] = f.StreamState(now)
 	}
-	moves := Triage(now, d.deadline, stakes, MoveParams{Policy: s.opts.Move, Transfer: s.opts.Transfer})
+	moves := PlanMoves(now, d.deadline, streams, MoveParams{Policy: s.opts.Move, Transfer: s.opts.Transfer})
 	for i, m := range moves {
 		s.log.Infof("move: %s off %s in %s: %s, context %d, left %d, at +%s", d.flights[i].answer.ID, d.target.ID,
-			d.deadline.Sub(now).Round(time.Millisecond), m.Kind, stakes[i].Context, stakes[i].Left, m.At.Sub(now))
+			d.deadline.Sub(now).Round(time.Millisecond), m.Kind, streams[i].Context, streams[i].Left, m.At.Sub(now))
 		s.schedule(now, d.work, d.target, d.flights[i], m)
 	}
 }
 
-// schedule cuts one stream when its time has come.
+// schedule starts the timer for the move of one stream.
 func (s *Server) schedule(now time.Time, w *Work, t *Target, f *Flight, m Move) {
 	switch m.Kind {
 	case StayAndFinish:
 	case ExportKV:
 		time.AfterFunc(max(m.At.Sub(now), clock.LeastTimer), func() { s.export(w, t, f) })
 	default:
-		time.AfterFunc(max(m.At.Sub(now), clock.LeastTimer), func() { f.Cut(nil, m.Kind == StartAgain) })
+		time.AfterFunc(max(m.At.Sub(now), clock.LeastTimer), func() { f.Cut(nil, m.Kind == RestartFromPrompt) })
 	}
 }
 
-// awaitPrompt returns the stream's content once the engine has told the
-// prompt's tokens, or as it is when half of the notice is over.
+// awaitPrompt returns the stream's content as soon as the engine has reported the
+// token ids of the prompt, or after half of the notice period.
 func (s *Server) awaitPrompt(f *Flight, now, deadline time.Time) Snapshot {
-	ctx, cancel := context.WithTimeout(s.alive, deadline.Sub(now)/2)
+	ctx, cancel := context.WithTimeout(s.baseCtx, deadline.Sub(now)/2)
 	defer cancel()
 	changed, stop := f.answer.Follow()
 	defer stop()
@@ -85,23 +85,23 @@
 	}
 }
 
-// export has another engine pull the stream's KV cache and cuts the stream
-// over to it; without one the stream is resumed from its tokens.
+// export makes another engine pull the stream's KV cache and moves the stream to it.
+// If that is not possible, the stream is resumed elsewhere from its tokens.
 func (s *Server) export(w *Work, t *Target, f *Flight) {
 	deadline, _ := t.Leaving()
 	snap := s.awaitPrompt(f, s.Now(), deadline)
-	// Where the prompt's head belongs next, part of the cache may be already.
+	// The engine that prefix routing chooses next may already cache a part of the prompt.
 	need := Need{Prefix: f.prefix, Prompt: len(snap.Prompt), PrefillRate: w.Speed.Prefill(), Avoid: t}
 	c, ok := w.Pool.Route(s.Now(), need)
 	if !ok || len(snap.Prompt) == 0 {
 		f.Cut(nil, false)
 		return
 	}
-	ctx, cancel := context.WithTimeout(s.alive, deadline.Sub(s.Now()))
+	ctx, cancel := context.WithTimeout(s.baseCtx, deadline.Sub(s.Now()))
 	defer cancel()
 	err := s.Client.ImportKV(ctx, c.Target.Address, t.Address, "move", append(snap.Prompt, snap.Tokens...))
 	if err != nil {
-		s.log.Infof("move: %s without its KV cache: %v", f.answer.ID, err)
+		s.log.Infof("move: %s moves without its KV cache: %v", f.answer.ID, err)
 		f.Cut(nil, false)
 		return
 	}
--- a/request/server_test.go
+++ b/request/server_test.go
@@ -24,8 +24,8 @@
 	"streambend.example/version"
 )
 
-// office is three servers before the same engines.
-type office struct {
+// testCluster runs request servers in front of the same engines.
+type testCluster struct {
 	net     *standin.Net
 	table   *standin.Memory
 	ledger  *standin.Ledger
@@ -39,8 +39,8 @@
 	Routes: []version.Route{{Name: "digest"}, {Name: "tag", Unrepeatable: true}},
 }
 
-func newOffice(faults []standin.EngineFault) *office {
-	o := &office{net: standin.NewNet(), table: standin.NewMemory(), ledger: standin.NewLedger(), servers: make(map[string]*request.Server)}
+func newTestCluster(faults []standin.EngineFault) *testCluster {
+	o := &testCluster{net: standin.NewNet(), table: standin.NewMemory(), ledger: standin.NewLedger(), servers: make(map[string]*request.Server)}
 	for i, f := range faults {
 		e := standin.NewEngine(o.net, fmt.Sprint(i), standin.EngineConfig{Batch: 16, Step: time.Millisecond, Prefill: 1e6, CacheBlocks: 100, Transfer: 1e6}, o.ledger)
 		e.SetFault(f)
@@ -49,8 +49,8 @@
 	return o
 }
 
-// start starts a server, and ends the one of that name before it.
-func (o *office) start(name string) *request.Server {
+// start starts a server, and first stops the running one of the same name.
+func (o *testCluster) start(name string) *request.Server {
 	o.kill(name)
 	o.starts++
 	log := logrus.New()
@@ -67,7 +67,7 @@
 	return s
 }
 
-func (o *office) kill(name string) {
+func (o *testCluster) kill(name string) {
 	for self, s := range o.servers {
 		if strings.HasPrefix(self, name+"#") {
 			s.Kill()
@@ -78,7 +78,7 @@
 	}
 }
 
-func (o *office) close() {
+func (o *testCluster) close() {
 	for self := range o.servers {
 		o.kill(strings.Split(self, "#")[0])
 	}
@@ -88,7 +88,7 @@
 }
 
 // AskClaim implements request.Peers.
-func (o *office) AskClaim(_ context.Context, holder, name string) request.HolderState {
+func (o *testCluster) AskClaim(_ context.Context, holder, name string) request.HolderState {
 	if s := o.servers[holder]; s != nil {
 		return s.AnswerClaim(name)
 	}
@@ -96,7 +96,7 @@
 }
 
 // AnyoneRan implements request.Peers.
-func (o *office) AnyoneRan(_ context.Context, name string) bool {
+func (o *testCluster) AnyoneRan(_ context.Context, name string) bool {
 	for _, s := range o.servers {
 		if st := s.AnswerClaim(name); st == request.HolderRan || st == request.HolderRunning {
 			return true
@@ -106,10 +106,10 @@
 }
 
 // RecentStop implements request.Peers.
-func (o *office) RecentStop(time.Time) bool { return false }
+func (o *testCluster) RecentStop(time.Time) bool { return false }
 
 // TakeOver implements request.Peers.
-func (o *office) TakeOver(context.Context, string) (request.Snapshot, bool) {
+func (o *testCluster) TakeOver(context.Context, string) (request.Snapshot, bool) {
 	return request.Snapshot{}, false
 }
 
@@ -136,7 +136,7 @@
 	}
 }
 
-func want(id string) string {
+func wantText(id string) string {
 	var sb strings.Builder
 	for _, t := range standin.Want("the prompt of "+id, tokens) {
 		fmt.Fprintf(&sb, "w%d ", t)
@@ -170,7 +170,8 @@
 	}).Draw(t, "fault")
 }
 
-// TestAnswersAreWholeWhateverEnginesDo gives engines any faults, all but one.
+// TestAnswersAreWholeWhateverEnginesDo checks that answers are complete while all engines but one may
+// have any fault.
 func TestAnswersAreWholeWhateverEnginesDo(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		faults := []standin.EngineFault{{}}
@@ -180,7 +181,7 @@
 		var texts [6]string
 		var errs [6]error
 		synctest.Test(t, func(*testing.T) {
-			o := newOffice(faults)
+			o := newTestCluster(faults)
 			defer o.close()
 			s := o.start("a")
 			for i := range texts {
@@ -188,25 +189,25 @@
 			}
 		})
 		for i, text := range texts {
-			if errs[i] != nil || text != want(fmt.Sprint("r", i)) {
+			if errs[i] != nil || text != wantText(fmt.Sprint("r", i)) {
 				rt.Fatalf("request %d: %v, %q", i, errs[i], text)
 			}
 		}
 	})
 }
 
-// TestSlowEngineIsEjectedAndLetBackIn gives one of four engines a tenth of the
-// speed, and later its own again.
-func TestSlowEngineIsEjectedAndLetBackIn(t *testing.T) {
+// TestSlowEngineIsEjectedAndReadmitted runs one of four engines at a tenth of its
+// speed, and later at full speed again.
+func TestSlowEngineIsEjectedAndReadmitted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		o := newOffice([]standin.EngineFault{{SlowTimes: 10}, {}, {}, {}})
+		o := newTestCluster([]standin.EngineFault{{SlowTimes: 10}, {}, {}, {}})
 		defer o.close()
 		s := o.start("a")
 		send := func(from, to int) {
 			for i := from; i < to; i++ {
 				text, err := answer(s, newRequest("digest", fmt.Sprint("r", i), ""))
 				require.NoError(t, err)
-				require.Equal(t, want(fmt.Sprint("r", i)), text)
+				require.Equal(t, wantText(fmt.Sprint("r", i)), text)
 				s.Works.Tick(time.Now(), 1)
 			}
 		}
@@ -222,7 +223,7 @@
 	})
 }
 
-// claimStep is one step of a script around unrepeatable requests.
+// claimStep is one step of a test script with unrepeatable requests.
 type claimStep struct {
 	Do    string
 	Key   int
@@ -244,10 +245,10 @@
 	}
 })
 
-// claimOracle knows what has become of each key.
+// claimOracle checks the answer of each call against the runs that engines recorded.
 type claimOracle struct {
-	o     *office
-	lost  bool // a server that may have run something was started again
+	o     *testCluster
+	lost  bool // a server that may have run a request was restarted
 	wrong []string
 }
 
@@ -258,17 +259,17 @@
 	after := c.o.ledger.Begun(id)
 	switch {
 	case after > 1:
-		c.wrong = append(c.wrong, fmt.Sprintf("%s began %d times", id, after))
-	case err == nil && text != want(id):
+		c.wrong = append(c.wrong, fmt.Sprintf("%s started %d times", id, after))
+	case err == nil && text != wantText(id):
 		c.wrong = append(c.wrong, fmt.Sprintf("%s answered %q", id, text))
 	case code.Of(err) == code.ClaimStore && c.lost:
-		// Only a daemon that is gone knew that an earlier call had run; this
-		// call was not.
+		// Only a daemon that has ended knew that an earlier call had run; this call
+		// has not.
 		if after > before {
 			c.wrong = append(c.wrong, fmt.Sprintf("%s: %v, but it ran now", id, err))
 		}
 	case err != nil && code.Of(err) != code.StillRunning && code.Of(err).Ran() == code.NotRun && after > 0:
-		c.wrong = append(c.wrong, fmt.Sprintf("%s: %v, but it began (%d before)", id, err, before))
+		c.wrong = append(c.wrong, fmt.Sprintf("%s: %v, but it started (%d times before)", id, err, before))
 	case err == nil && after == 0:
 		c.wrong = append(c.wrong, fmt.Sprintf("%s answered without a run", id))
 	}
@@ -299,15 +300,15 @@
 	}
 }
 
-// TestUnrepeatableRunsAtMostOnce lets three daemons, which are started again
-// at will, get the same keys while the table is down, loses answers, or is
-// well, and the engine refuses or cuts.
+// TestUnrepeatableRunsAtMostOnce sends requests with the same keys to three daemons
+// that restart at random, while the table is down, loses answers or works, and the
+// engine refuses requests or cuts answers off.
 func TestUnrepeatableRunsAtMostOnce(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		script := rapid.SliceOfN(claimSteps, 5, 25).Draw(rt, "script")
 		var wrong []string
 		synctest.Test(t, func(*testing.T) {
-			o := newOffice([]standin.EngineFault{{}})
+			o := newTestCluster([]standin.EngineFault{{}})
 			defer o.close()
 			servers := make(map[string]*request.Server)
 			for _, name := range []string{"a", "b", "c"} {
@@ -327,7 +328,7 @@
 
 func TestRepeatedKeyGetsTheStoredAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		o := newOffice([]standin.EngineFault{{}})
+		o := newTestCluster([]standin.EngineFault{{}})
 		defer o.close()
 		first, err := answer(o.start("a"), newRequest("tag", "k", "k"))
 		require.NoError(t, err)
@@ -344,7 +345,7 @@
 
 func TestTableDownRefusesUnrepeatableAtOnceAndServesTheRest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		o := newOffice([]standin.EngineFault{{}})
+		o := newTestCluster([]standin.EngineFault{{}})
 		defer o.close()
 		s := o.start("a")
 		o.table.Faults.Set(standin.Fault{Down: true})
@@ -354,6 +355,6 @@
 		assert.Less(t, time.Since(began), 100*time.Millisecond)
 		text, err := answer(s, newRequest("digest", "d", "d"))
 		require.NoError(t, err)
-		assert.Equal(t, want("d"), text)
+		assert.Equal(t, wantText("d"), text)
 	})
 }
--- a/request/settle.go
+++ b/request/settle.go
@@ -16,39 +16,39 @@
 )
 
 const (
-	retryStep  = 10 * time.Millisecond
-	pauseLeast = 250 * time.Millisecond // between attempts once the budget is empty
+	backoffStep     = 10 * time.Millisecond
+	longBackoffStep = 250 * time.Millisecond // base of the backoff once the retry budget is empty
 )
 
-// storeTries is how often an answer is offered to the table, with a growing
-// pause between.
-const storeTries = 8
+// maxStoreAttempts is the number of attempts to store an answer in the table, with
+// exponential backoff between them.
+const maxStoreAttempts = 8
 
-// settle follows an attempt's ending up and reports whether the request ends.
-func (r *run) settle(ctx context.Context, t *Target, e Ending, failure error) bool {
+// finishAttempt processes the outcome of an attempt and reports whether the request has ended.
+func (r *run) finishAttempt(ctx context.Context, t *Target, e Ending, failure error) bool {
 	now := r.Now()
-	if ctx.Err() != nil && e != EndedWhole {
-		e = EndedGone
+	if ctx.Err() != nil && e != EndedComplete {
+		e = EndedCallerGone
 	}
 	if e != EndedUnsent && e != EndedRefused {
 		r.life.Tainted = true
 	}
 	if conn.EndpointClosed(failure) || errors.Is(failure, errNewStart) && e == EndedBroken {
 		r.Count.CutOff.Add(1)
-		r.ends.closed(r.alive, t, crash.Flight{Print: r.print, For: now.Sub(r.started)})
+		r.ends.connectionClosed(r.baseCtx, t, crash.Flight{Print: r.print, For: now.Sub(r.started)})
 	}
-	if !errors.Is(failure, errOldList) && !errors.Is(failure, errBarred) {
-		r.note(now, t, e)
+	if !errors.Is(failure, errStaleList) && !errors.Is(failure, errBarred) {
+		r.recordOutcome(now, t, e)
 	}
 	r.noteTrial(now, t, e, failure)
 	a := Aftermath{
 		Ending: e, Unrepeatable: r.r.Unrepeatable, Tainted: r.life.Tainted,
-		Budget: r.opts.NoBudget || r.prepaid.Load() || r.work.Budget.Left(now), GiveUpAt: r.giveUpAt(),
-		Strict: r.opts.Retry != nil, Spent: r.spent(e),
+		Budget: r.opts.NoBudget || r.retryCharged.Load() || r.work.Budget.Left(now), GiveUpAt: r.giveUpAt(),
+		Strict: r.opts.Retry != nil, Spent: r.attemptsExhausted(e),
 	}
 	v := r.opts.judge(now, &a)
 	r.life.Tainted = a.Tainted
-	if v.Action == Again && r.a.full() {
+	if v.Action == Again && r.a.hasAllTokens() {
 		v = Verdict{Action: Finish}
 	}
 	if v.Action != Finish {
@@ -58,43 +58,44 @@
 	case Finish:
 		r.complete(now)
 	case Refuse:
-		r.life.on(eventUnsend)
+		r.life.apply(eventUndoSend)
 		r.refuse(code.New(v.Code, "%v", failure).After(time.Second))
 	case GiveUp:
 		r.giveUp(ctx, v.Code, failure)
 	case Again:
-		r.again(ctx, e, v, t)
+		r.prepareRetry(ctx, e, v, t)
 		return false
 	}
 	return true
 }
 
-// moreSends is how many endpoints beyond its attempts a request is offered to
-// that has run at none of them.
-const moreSends = 2
+// extraSends is the number of sends beyond Relay.Attempts allowed to a request
+// that no endpoint has started.
+const extraSends = 2
 
-// spent reports whether a request has been sent as often as its route allows.
-func (r *run) spent(e Ending) bool {
+// attemptsExhausted counts an attempt that may have run, and reports whether the route's limit of
+// attempts is reached.
+func (r *run) attemptsExhausted(e Ending) bool {
 	x := r.r.Relay
 	if x == nil {
 		return false
 	}
 	if e == EndedUnsent || e == EndedRefused {
-		return r.attempts >= x.Attempts+moreSends
+		return r.attempts >= x.Attempts+extraSends
 	}
-	r.runs++
-	return r.runs >= x.Attempts
+	r.startedAttempts++
+	return r.startedAttempts >= x.Attempts
 }
 
-// note lets the pool and the limit learn from an ending.
-func (r *run) note(now time.Time, t *Target, e Ending) {
+// recordOutcome reports the outcome of an attempt to the target and to the concurrency limit.
+func (r *run) recordOutcome(now time.Time, t *Target, e Ending) {
 	switch e {
-	case EndedWhole:
-		// Not at the first token: an endpoint that begins every answer and
-		// ends none would never be ejected.
+	case EndedComplete:
+		// Recorded at the end of the answer, not at its first token: an endpoint that
+		// starts every answer and completes none would never be ejected.
 		t.Succeed()
 		if pace, ok := r.pace(now); ok && r.opts.Without.On(mechanism.SlowEjection) && t.Paced(now, pace, r.work.Speed.Pace(!r.r.IsModel())) {
-			r.logEject(t, fmt.Sprintf("slow, %s where %s is usual", pace, r.work.Speed.Pace(!r.r.IsModel())))
+			r.logEject(t, fmt.Sprintf("slow: pace %s, usual pace %s", pace, r.work.Speed.Pace(!r.r.IsModel())))
 		}
 	case EndedUnsent, EndedBroken:
 		if _, leaving := t.Leaving(); !leaving && t.Fail(now, e == EndedUnsent) {
@@ -102,15 +103,16 @@
 		}
 	case EndedRefused:
 		if r.r.Relay != nil {
-			return // it is full, which is no fault
+			return // the endpoint is full, which is not a failure
 		}
 		t.Fail(now, false)
 		r.work.Queue.Limit.Overload(now)
 	}
 }
 
-// pace returns how long the endpoint took for a token, or for a plain call;
-// false for an answer that came from several endpoints or is too short.
+// pace returns the endpoint's time per token, or the duration of a plain call;
+// false for a relayed stream, and for an answer that came from several endpoints or
+// is too short.
 func (r *run) pace(now time.Time) (time.Duration, bool) {
 	if r.r.Relay != nil && r.r.Relay.Streaming {
 		return 0, false
@@ -118,20 +120,20 @@
 	if !r.r.IsModel() {
 		return now.Sub(r.started), true
 	}
-	n := r.a.emitted()
+	n := r.a.tokenCount()
 	if r.attempts > 1 || n < 4 {
 		return 0, false
 	}
-	return now.Sub(r.a.firstAt()) / time.Duration(n-1), true
+	return now.Sub(r.a.firstTokenAt()) / time.Duration(n-1), true
 }
 
-// again prepares the next attempt.
-func (r *run) again(ctx context.Context, e Ending, v Verdict, t *Target) {
+// prepareRetry prepares the next attempt: it charges the retry budget and waits for the backoff.
+func (r *run) prepareRetry(ctx context.Context, e Ending, v Verdict, t *Target) {
 	switch e {
 	case EndedUnsent, EndedRefused:
-		r.life.on(eventUnsend)
+		r.life.apply(eventUndoSend)
 	default:
-		r.life.on(eventMove)
+		r.life.apply(eventMove)
 	}
 	r.avoid = t
 	if !v.Spend {
@@ -139,19 +141,20 @@
 		return
 	}
 	r.Count.Retries.Add(1)
-	if !r.prepaid.Swap(false) {
+	if !r.retryCharged.Swap(false) {
 		r.work.Budget.Spend(r.Now())
 	}
-	backoff := time.Duration(min(r.attempts, 6)) * retryStep
+	backoff := time.Duration(min(r.attempts, 6)) * backoffStep
 	if v.Pause {
-		backoff = pauseLeast + time.Duration(min(r.attempts, 6))*pauseLeast
+		backoff = longBackoffStep + time.Duration(min(r.attempts, 6))*longBackoffStep
 	}
 	select {
 	case <-ctx.Done():
-	case <-time.After(backoff/2 + time.Duration(pick(r.draw(), int(backoff)/2+1))):
+	case <-time.After(backoff/2 + time.Duration(pick(r.attemptHash(), int(backoff)/2+1))):
 	}
 }
 
+// giveUp ends the request after a failure that is not retried.
 func (r *run) giveUp(ctx context.Context, c code.Code, failure error) {
 	var f *conn.Failure
 	if c == code.EndpointAnswer && errors.As(failure, &f) {
@@ -161,11 +164,11 @@
 	r.end(ctx, code.New(c, "%v", failure))
 }
 
-// complete ends the request with its whole answer.
+// complete ends the request with a complete answer.
 func (r *run) complete(now time.Time) {
 	r.work.Budget.Earn()
-	if r.well {
-		r.Holds.answered(now, r.print)
+	if r.succeeded {
+		r.Holds.recordSuccess(now, r.print)
 	}
 	event := eventComplete
 	if now.After(r.r.Deadline) {
@@ -174,37 +177,37 @@
 	} else {
 		r.Count.Complete.Add(1)
 	}
-	r.life.on(event)
+	r.life.apply(event)
 	r.logEnd(now, nil)
 	if r.r.Relay != nil && r.r.Relay.Streaming {
 		r.a.settle(nil)
 		return
 	}
 	u := r.a.Usage()
-	first := r.a.firstAt().Sub(r.started)
+	first := r.a.firstTokenAt().Sub(r.started)
 	if r.attempts == 1 {
 		r.work.Speed.Answered(first, now.Sub(r.started), u.CompletionTokens, u.PromptTokens-u.Details.CachedTokens)
 	}
 	r.a.settle(nil)
 	if r.claimed {
-		r.store()
+		r.storeAnswer()
 	}
 }
 
-// store keeps the answer with its claim. The caller has it already; until it
-// is stored, repeats of the call are told that it still runs.
-func (r *run) store() {
+// storeAnswer stores the answer with its claim. The caller has the answer already; until
+// it is stored, repeats of the call are answered as still running.
+func (r *run) storeAnswer() {
 	snap := r.a.Snapshot()
-	for try := range storeTries {
-		ctx, cancel := context.WithTimeout(r.alive, 5*time.Second)
+	for try := range maxStoreAttempts {
+		ctx, cancel := context.WithTimeout(r.baseCtx, 5*time.Second)
 		err := r.Claims.Store(ctx, r.claim, snap)
 		cancel()
-		if err == nil || r.alive.Err() != nil {
+		if err == nil || r.baseCtx.Err() != nil {
 			return
 		}
-		r.log.Warnf("claim: %s not stored yet: %v", r.r.ID, err)
+		r.log.Warnf("claim: storing the answer of %s failed: %v", r.r.ID, err)
 		select {
-		case <-r.alive.Done():
+		case <-r.baseCtx.Done():
 			return
 		case <-time.After(time.Duration(1<<try) * 100 * time.Millisecond):
 		}
