--- a/entry/quota.go
+++ b/entry/quota.go
@@ -9,10 +9,10 @@
 	"streambend.example/version"
 )
 
-// Quotas hold a token bucket for each team, over all daemons: what others have
-// admitted is taken from it as soon as their word comes.
+// Quotas holds a token bucket for each team. Limits apply over all daemons: what others have admitted is
+// taken from the bucket as soon as it is known.
 type Quotas struct {
-	first bool // nothing was admitted before this process
+	first bool // nothing was admitted before this process started
 
 	mu      sync.Mutex
 	buckets map[string]*bucket
@@ -25,29 +25,27 @@
 	burst float64
 }
 
-// NewQuotas returns quotas of which nothing is used; first tells that the whole
-// system has just begun.
+// NewQuotas returns full buckets; first reports whether the whole system has just started.
 func NewQuotas(first bool) *Quotas { return &Quotas{first: first, buckets: make(map[string]*bucket)} }
 
-// restartShare is the part of a bucket that a process finds which does not know
-// what was admitted before it: daemons that die again and again must not hand
-// the whole burst out each time. Of that it takes its share.
+// restartShare is the fraction of its share of a bucket that a process starts with if it does not know what
+// was admitted before: daemons that crash repeatedly must not grant the whole burst each time.
 const restartShare = 0.5
 
-// debtSeconds bounds how far a bucket goes below zero, as seconds of its rate: what was
-// admitted at once everywhere is paid back, but not for ever. At eight times a limit, heard
-// of after 0.8 s, that is 4.6 s of the rate.
+// debtSeconds bounds how far a bucket falls below zero, in seconds of its rate: what all daemons admitted
+// at the same time is paid back, but not indefinitely. At eight times a limit and a delay of 0.8 s the debt
+// is 4.6 s.
 const debtSeconds = 6
 
-// leastWait is the least time after which a caller that is over a limit is told to come back: of a
-// bucket that lacked a part of a unit it was none, and the answer had no Retry-After.
+// leastWait is the shortest wait reported to a caller over its limit. If a bucket lacked a fraction of a
+// unit, the wait was zero and the answer had no Retry-After.
 const leastWait = time.Millisecond
 
-// shortShare is the share of a bucket below which its team is likely to be refused soon.
+// shortShare is the fill level, as a fraction of the burst, below which refusals are likely soon.
 const shortShare = 0.5
 
-// bucket brings a team's bucket up to now; share is the part of the limit that
-// this daemon may use. The caller holds the lock.
+// bucket returns a team's bucket, refilled up to now; share is the fraction of the limit that this daemon
+// may use. The caller holds the lock.
 func (q *Quotas) bucket(now time.Time, t *version.Tenant, share float64) *bucket {
 	b := q.buckets[t.Name]
 	if b == nil {
@@ -68,8 +66,8 @@
 	return b
 }
 
-// Admit takes the units of a request from its team's bucket. If it does not hold
-// them it returns when it will.
+// Admit takes the units of a request from its team's bucket. If there are too few it returns the time until
+// there are enough.
 func (q *Quotas) Admit(now time.Time, t *version.Tenant, units, share float64) (wait time.Duration, ok bool) {
 	if t.Rate <= 0 {
 		return 0, true
@@ -77,18 +75,18 @@
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	b := q.bucket(now, t, share)
-	// A request larger than the whole bucket passes when it is full.
+	// A request larger than the whole bucket passes when the bucket is full.
 	need := min(units, b.burst)
 	if b.level < need {
-		// By the rate of all daemons: the caller comes back to any of them, and a small
-		// share is one that is soon put right.
+		// At the rate of all daemons: the caller may retry at any of them, and a share that is small now
+		// usually grows soon.
 		return max(time.Duration((need-b.level)/max(b.rate, 1)*float64(time.Second)), leastWait), false
 	}
 	b.level -= units
 	return 0, true
 }
 
-// Return gives back what a request that has not run had taken.
+// Return gives back the units of a request that did not run.
 func (q *Quotas) Return(t *version.Tenant, units float64) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -97,7 +95,7 @@
 	}
 }
 
-// Short reports whether some team is near its limit, or over it.
+// Short reports whether some team is near its limit or over it.
 func (q *Quotas) Short(now time.Time) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -109,7 +107,7 @@
 	return false
 }
 
-// Levels returns what the buckets of teams hold, by team.
+// Levels returns the fill levels of the teams' buckets.
 func (q *Quotas) Levels(now time.Time, teams []version.Tenant, share float64) map[string]int64 {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -122,8 +120,8 @@
 	return out
 }
 
-// Adopt takes over the levels of a daemon that has been at work, which has counted what
-// this one has admitted so far.
+// Adopt takes over the levels of a daemon that has run for longer; they include what this daemon has
+// admitted so far.
 func (q *Quotas) Adopt(now time.Time, teams []version.Tenant, levels map[string]int64) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -134,7 +132,7 @@
 	}
 }
 
-// Others takes from a team's bucket what other daemons have admitted.
+// Others takes what other daemons have admitted from a team's bucket.
 func (q *Quotas) Others(now time.Time, t *version.Tenant, units, share float64) {
 	if t.Rate <= 0 {
 		return
--- a/entry/tally.go
+++ b/entry/tally.go
@@ -11,58 +11,58 @@
 	"streambend.example/rollout"
 )
 
-// windowsKept is how many usage windows a tally holds: the one that runs, those
-// whose report is due, and some more for a report that was held up.
+// windowsKept is how many usage windows a tally holds: the current one, those whose report is due, and
+// some more in case a report is delayed.
 const windowsKept = 5
 
-// heard is the newest tally of a daemon, when its last word came, and whether that daemon
-// itself has told it.
+// heard is the newest tally received of another daemon, when it arrived, and whether that daemon sent it
+// itself rather than another that forwarded it.
 type heard struct {
 	tally  conn.Tally
 	at     time.Time
 	direct bool
 	change change
-	term   int // of listening in which it came
+	term   int // listening period in which it arrived
 }
 
-// turnDirect forgets when a tally has changed: whoever asks for direct ones alone was told
-// nothing of it until now.
+// turnDirect marks a tally as received from its own daemon and drops its change history: a neighbour that
+// asks for direct tallies alone has not been sent it so far.
 func (h *heard) turnDirect() { h.direct, h.change = true, change{} }
 
-// Scope is whose tallies a neighbour is told.
+// Scope selects whose tallies are sent to a neighbour.
 type Scope int
 
-// The scopes.
+// Scopes of an exchange.
 const (
-	ScopeAll    Scope = iota // those of all daemons
-	ScopeDirect              // this daemon's and those that their own daemons have told it
+	ScopeAll    Scope = iota // tallies of all daemons
+	ScopeDirect              // this daemon's tally and those received from their own daemons
 )
 
 // String returns the scope's name.
 func (s Scope) String() string { return [...]string{"all", "direct"}[s] }
 
-// Tallies are the counts of all daemons as far as they are known here. They are
-// passed on between neighbours: whoever has a newer one of any daemon sends it.
+// Tallies holds the counts of all daemons, as far as this one has received them. Neighbours forward them
+// to each other: whoever has a newer tally of any daemon sends it.
 type Tallies struct {
 	mu     sync.Mutex
-	edit   uint64 // counts the changes of what is known here
+	edit   uint64 // number of the last change to anything held here
 	self   conn.Tally
 	own    change // of self
 	others map[daemonStart]heard
-	term   int                               // counts the times for which tallies are listened to
-	since  int64                             // when the present one began, Unix milliseconds
-	pause  bool                              // what others admit is counted by another way now
-	flow   map[string]map[string]int64       // daemon to team to what it was heard to admit
-	sent   map[string]map[daemonStart]uint64 // neighbour to what it was sent
+	term   int                               // number of the current listening period
+	since  int64                             // start of the current listening period, Unix milliseconds
+	pause  bool                              // a reader's sums count what others admit, instead of tallies
+	flow   map[string]map[string]int64       // units that each daemon is known to have admitted, by daemon and team
+	sent   map[string]map[daemonStart]uint64 // sequence numbers sent so far, by neighbour
 }
 
-// daemonStart tells the starts of a daemon apart.
+// daemonStart identifies one run of a daemon's process.
 type daemonStart struct {
 	name  string
 	start int64
 }
 
-// NewTallies returns the tallies of a daemon that has counted nothing.
+// NewTallies returns the tallies of a daemon that has counted nothing yet.
 func NewTallies(self conn.Member) *Tallies {
 	return &Tallies{
 		since:  self.Start,
@@ -71,7 +71,7 @@
 	}
 }
 
-// Admit counts units of a team's limit; less than 0 takes back.
+// Admit counts units admitted under a team's limit; a negative number returns units.
 func (t *Tallies) Admit(team string, units int64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -84,14 +84,14 @@
 	t.note(count{team, admitted})
 }
 
-// note notes a change of this daemon's own count; the caller holds the lock.
+// note records a change of one of this daemon's counts; the caller holds the lock.
 func (t *Tallies) note(c count) {
 	t.self.Seq++
 	t.edit++
 	t.own.note(t.edit, c)
 }
 
-// Begin counts a request that has begun to run in a window.
+// Begin counts a request that began to run in a usage window.
 func (t *Tallies) Begin(team string, window int64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -110,7 +110,7 @@
 	t.note(count{team, window})
 }
 
-// SetRunning notes how many requests are at the endpoints of each service.
+// SetRunning records how many requests are at the endpoints of each service.
 func (t *Tallies) SetRunning(running map[string]int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -120,11 +120,11 @@
 	}
 }
 
-// runningLife is how long the word of a daemon on what it runs is believed: some
-// exchanges may be missed, but a dead daemon's requests are not waited for.
+// runningLife is how long another daemon's count of running requests is used: long enough to miss some
+// exchanges, short enough that requests of a dead daemon are not waited for.
 const runningLife = 3 * time.Second
 
-// Running returns how many requests all daemons have at a service's endpoints.
+// Running returns how many requests all daemons have at the endpoints of a service.
 func (t *Tallies) Running(now time.Time, service string) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -137,7 +137,7 @@
 	return n
 }
 
-// News returns what a neighbour has not been sent yet.
+// News returns the tallies that a neighbour has not been sent yet.
 func (t *Tallies) News(neighbour string, of Scope) []conn.Tally {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -163,7 +163,7 @@
 	return out
 }
 
-// Lost forgets what a neighbour was sent, since a link to it has gone.
+// Lost forgets what a neighbour was sent, after a link to it was lost.
 func (t *Tallies) Lost(neighbour string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -180,15 +180,15 @@
 	return x
 }
 
-// Admitted is what another daemon has admitted since its last word.
+// Admitted is what another daemon has admitted since its previous tally.
 type Admitted struct {
 	Team  string
 	Units int64
 }
 
-// Hear takes in tallies from a neighbour and returns what they add to the admissions
-// known. Tallies are not whole if they tell only of changes; whole is false if some of
-// those could not be taken in, as what they change is not known here.
+// Hear merges tallies received from a neighbour and returns the admissions that they add. A partial tally
+// holds only the counts that changed; whole is false if one arrived for a daemon that is not known here,
+// since there is nothing to apply it to.
 func (t *Tallies) Hear(now time.Time, from string, in []conn.Tally) (out []Admitted, whole bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -203,11 +203,11 @@
 			continue
 		}
 		if sent := t.sent[from]; sent != nil {
-			sent[k] = max(sent[k], x.Seq) // it need not be told what it told us
+			sent[k] = max(sent[k], x.Seq) // the sender has this tally already
 		}
 		old, known := t.others[k]
 		if known && x.Seq <= old.tally.Seq {
-			old.at, old.term = now, t.term // it lives, though it has counted nothing since
+			old.at, old.term = now, t.term // the daemon is alive, though its counts have not changed
 			if from == x.Daemon && !old.direct {
 				t.edit++
 				old.turnDirect()
@@ -220,7 +220,7 @@
 			whole = false
 			continue
 		}
-		if known && old.term == t.term || x.Start >= t.since { // else admitted before: only what follows counts
+		if known && old.term == t.term || x.Start >= t.since { // otherwise this tally is the baseline
 			for _, a := range admittedSince(old.tally, x) {
 				out = append(out, a)
 				t.flows(x.Daemon)[a.Team] += a.Units
@@ -242,15 +242,15 @@
 	return out, whole
 }
 
-// CountedElsewhere notes that what others admit is counted by another way, a reader's sums,
-// until tallies are heard again: of those only what follows counts then.
+// CountedElsewhere records that admissions of other daemons are counted from a reader's sums. When tallies
+// arrive again, the first of each daemon is a baseline and only later growth counts.
 func (t *Tallies) CountedElsewhere() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.pause = true
 }
 
-// flows returns what a daemon was heard to admit; the caller holds the lock.
+// flows returns the units that a daemon is known to have admitted, by team; the caller holds the lock.
 func (t *Tallies) flows(daemon string) map[string]int64 {
 	f := t.flow[daemon]
 	if f == nil {
@@ -267,8 +267,8 @@
 	return copyTally(t.self)
 }
 
-// Flow returns what all daemons but one were heard to admit since this process
-// began, with its own admissions.
+// Flow returns the units, by team, that this daemon has admitted, and that all others but one are known to
+// have admitted since this process started.
 func (t *Tallies) Flow(except string) map[string]int64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -287,12 +287,11 @@
 	return out
 }
 
-// tallyLife is how long the word of a daemon that has gone is kept.
+// tallyLife is how long the tally of a dead daemon is kept.
 const tallyLife = time.Minute
 
-// Tick forgets old words of daemons that are not alive. A daemon that only has nothing to
-// count must not be forgotten: all that it ever admitted would count anew with its next
-// word.
+// Tick drops old tallies of daemons that are not alive. The tally of an idle daemon that is alive must stay:
+// otherwise everything that it ever admitted would be counted again with its next tally.
 func (t *Tallies) Tick(now time.Time, alive []conn.Member) {
 	living := make(map[daemonStart]bool, len(alive))
 	for _, m := range alive {
@@ -310,8 +309,7 @@
 	}
 }
 
-// Window returns how many requests of each team have begun in a window, at all
-// daemons together.
+// Window returns how many requests of each team began in a usage window, over all daemons.
 func (t *Tallies) Window(window int64) map[string]int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/entry/tallynews.go
+++ b/entry/tallynews.go
@@ -9,24 +9,23 @@
 	"streambend.example/rollout"
 )
 
-// count names one count of a tally: the requests of a team begun in a usage window, or one
-// of the counts below. Each only grows, so that one that is the same has not changed
-// meanwhile, and whoever has heard of it by another way misses nothing. Without a team it
-// stands for what the daemon runs, which is always told whole.
+// count identifies one count of a tally: the requests of a team begun in a usage window, or one of the
+// kinds below. Counts only grow, so an equal value means no change, whatever path it arrived by. Without a
+// team it stands for the running requests, which are always sent in full.
 type count struct {
 	team   string
 	window int64
 }
 
-// The counts that are of no usage window.
+// Kinds of counts that belong to no usage window.
 const (
-	admitted  = 0  // units of its limit that the team was admitted
-	givenBack = -1 // those of them that were given back
-	tried     = -2 // answers of a version; the key of the count stands in place of the team
+	admitted  = 0  // units admitted under the team's limit
+	givenBack = -1 // admitted units that were returned
+	tried     = -2 // answers of a version; team holds the key of the count
 )
 
-// change says when a tally and each of its counts changed last, by the number of the
-// change among all that are known here.
+// change records when a tally and each of its counts changed last, as the number of that change among all
+// changes to the tallies held here.
 type change struct {
 	last   uint64
 	counts map[count]uint64
@@ -40,12 +39,12 @@
 	c.counts[x] = edit
 }
 
-// forget drops a usage window.
+// forget drops the counts of a usage window.
 func (c *change) forget(window int64) {
 	maps.DeleteFunc(c.counts, func(x count, _ uint64) bool { return x.window == window })
 }
 
-// compare notes what a newer word of a daemon has changed.
+// compare records which counts differ between two tallies of a daemon.
 func (c *change) compare(edit uint64, old, next conn.Tally) {
 	for team, n := range next.Admit {
 		if old.Admit[team] != n {
@@ -87,7 +86,7 @@
 	return false
 }
 
-// after returns the counts of a tally that have changed after an edit.
+// after returns a partial tally of the counts that changed after an edit.
 func (c *change) after(edit uint64, x conn.Tally) conn.Tally {
 	out := conn.Tally{
 		Daemon: x.Daemon, Start: x.Start, Seq: x.Seq, Part: true, Running: x.Running,
@@ -115,7 +114,7 @@
 	return out
 }
 
-// admittedSince returns what a newer word of a daemon adds to what it has admitted.
+// admittedSince returns what a newer tally of a daemon adds to its admissions.
 func admittedSince(old, next conn.Tally) (out []Admitted) {
 	for team, n := range next.Admit {
 		if add := n - old.Admit[team]; add != 0 {
@@ -130,7 +129,7 @@
 	return out
 }
 
-// merged returns a tally with the counts of a newer word on what has changed in it.
+// merged applies a newer partial tally to a tally.
 func merged(old, part conn.Tally) conn.Tally {
 	old.Seq, old.Running = part.Seq, part.Running
 	old.Admit, old.Back, old.Trials = added(old.Admit, part.Admit), added(old.Back, part.Back), added(old.Trials, part.Trials)
@@ -144,7 +143,7 @@
 	return old
 }
 
-// added returns a map with the entries of another, in place if there is one.
+// added copies the entries of one map to another, in place unless that is nil.
 func added[N int | int64 | rollout.Tally](to, from map[string]N) map[string]N {
 	if to == nil {
 		return maps.Clone(from)
@@ -153,8 +152,8 @@
 	return to
 }
 
-// Since returns what has changed after an edit, and the number of the last edit; with edit
-// 0 whole tallies.
+// Since returns the tallies that changed after an edit, reduced to the counts that changed, and the number
+// of the last edit. With edit 0 it returns full tallies.
 func (t *Tallies) Since(edit uint64, of Scope) (last uint64, out []conn.Tally) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/entry/tallyshare.go
+++ b/entry/tallyshare.go
@@ -11,31 +11,28 @@
 	"streambend.example/conn"
 )
 
-// Few daemons send their tallies to each other over their links. Where they are
-// many, each gives its own to its zone's reader with its question for what is
-// new, and gets in return what all others were heard to admit; the readers
-// ask each other what their zones have counted.
+// In a small fleet, each daemon sends its tally to its neighbours over their links. In a large fleet, each
+// daemon sends its own to its zone's reader with its periodic query for changes, and receives the sum of
+// what all others are known to have admitted; the readers query each other for the counts of their zones.
 
-// fullMesh is up to how many daemons each tells all others: then a word comes at
-// once, and costs a daemon no more than 11 short frames.
+// fullMesh is the largest fleet in which each daemon sends its tally to all others: an update then arrives
+// at once, and costs a daemon at most 11 short frames.
 const fullMesh = 12
 
 const (
-	// askCounts is the question between readers for what the daemons that tell the other
-	// have counted since the last one. All readers hear each other, and to pass on what
-	// others have said as well cost each of six readers 36 KB a second for 60 daemons of
-	// one team, and 12 KB without. With 40 teams and whole tallies both ways it sent 162 KB
-	// in questions and answers; what has changed since the asker's last question is 21 KB.
+	// askCounts is a reader's query for the counts that changed since its previous query, of the daemons that
+	// report to the queried reader. All readers query each other, so tallies of other zones are left out: for
+	// 60 daemons of one team, including them cost each of six readers 36 KB/s instead of 12 KB/s. With 40 teams,
+	// full tallies both ways took 162 KB in queries and answers; sending only changes takes 21 KB.
 	askCounts = "counts"
-	// askTallies is the same of a reader that runs the version before: it brings whole
-	// tallies and is answered with such, so that limits hold while a fleet is replaced.
+	// askTallies is the same query from a reader of the previous software version: query and answer hold full
+	// tallies. It keeps limits enforced while a fleet is upgraded.
 	askTallies = "tallies"
-	// detourFor is how long after a failed question another reader is taken not to be
-	// heard: four exchanges.
+	// detourFor is how long after a failed query another reader counts as unreachable: four exchanges.
 	detourFor = 4 * gossipPeriod
 )
 
-// many reports whether the daemons are too many for each to tell all others.
+// many reports whether the fleet is too large for each daemon to send its tally to all others.
 func (d *Daemon) many() bool { return len(d.Hub.Mesh.Members()) > fullMesh }
 
 // isReader reports whether this daemon is its zone's reader.
@@ -44,7 +41,7 @@
 	return !r.Known || r.Reader.Name == d.Self.Name
 }
 
-// countRunning brings this daemon's tally of what it runs up to date.
+// countRunning updates the running requests in this daemon's tally.
 func (d *Daemon) countRunning() {
 	running := make(map[string]int)
 	for _, k := range d.Server.Works.All() {
@@ -56,7 +53,7 @@
 	d.tallies.SetRunning(running)
 }
 
-// gossipPause is the time until tallies are exchanged again.
+// gossipPause returns the time until tallies are exchanged again.
 func (d *Daemon) gossipPause(now time.Time) time.Duration {
 	if d.many() && d.quotas.Short(now) {
 		return quickGossip
@@ -64,7 +61,7 @@
 	return gossipPeriod
 }
 
-// gossip tells others of the tallies that are news to them.
+// gossip sends tallies to neighbours that lack them, or, as a reader of a large fleet, queries other readers.
 func (d *Daemon) gossip(now time.Time) {
 	d.countRunning()
 	if !d.many() {
@@ -84,34 +81,34 @@
 	}
 }
 
-// tallyQuestion asks a reader what has changed.
+// tallyQuestion asks a reader for the changes since an edit.
 type tallyQuestion struct {
-	Source string `codec:"s"` // the start of that reader by whose numbers Edit counts
-	Edit   uint64 `codec:"e"` // up to which it has told
+	Source string `codec:"s"` // the reader's process that Edit refers to
+	Edit   uint64 `codec:"e"` // last change that the asker has received
 	Scope  Scope  `codec:"o,omitempty"`
 }
 
-// tallyAnswer tells what has changed.
+// tallyAnswer holds the changed tallies.
 type tallyAnswer struct {
 	Source  string       `codec:"s"`
 	Edit    uint64       `codec:"e"`
 	Tallies []conn.Tally `codec:"t,omitempty"`
 }
 
-// tallyFeed is what one reader tells of some scope.
+// tallyFeed identifies a sequence of answers: of one reader, in one scope.
 type tallyFeed struct {
 	reader string
 	scope  Scope
 }
 
-// tallyFeeds keeps how far each reader has told this daemon. Each scope is told apart: of
-// what was not in it nothing was told. The zero value is ready.
+// tallyFeeds holds the position reached with each reader. Scopes have positions of their own, since a
+// narrower scope leaves tallies out. The zero value is ready to use.
 type tallyFeeds struct {
 	mu sync.Mutex
 	at map[tallyFeed]tallyQuestion
 }
 
-// next returns the next question of a feed.
+// next returns the next query of a feed.
 func (t *tallyFeeds) next(f tallyFeed) tallyQuestion {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -120,7 +117,7 @@
 	return q
 }
 
-// told takes in how far a feed has been told.
+// told records the position that an answer of a feed reached.
 func (t *tallyFeeds) told(f tallyFeed, q tallyQuestion) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -130,16 +127,16 @@
 	t.at[f] = q
 }
 
-// begun reports whether any feed has been told.
+// begun reports whether any feed has been answered.
 func (t *tallyFeeds) begun() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return len(t.at) > 0
 }
 
-// tallyScope returns of whose tallies the reader at a place among the others is asked: of
-// all if some reader does not answer, and of one reader at first, since a reader that
-// begins may follow one that was told what no daemon tells any more.
+// tallyScope returns the scope for a query to the reader at a place among the others. It is all tallies if
+// some reader is unreachable, and for one reader after a start: the previous reader of this zone may have
+// held tallies of daemons that no longer send their own.
 func (d *Daemon) tallyScope(now time.Time, place int) Scope {
 	if d.contact.readerMissing(now) || place == 0 && !d.feeds.begun() {
 		return ScopeAll
@@ -147,8 +144,7 @@
 	return ScopeDirect
 }
 
-// pullTallies asks the reader of another zone what has been counted since its last answer
-// that came.
+// pullTallies queries the reader of another zone for what changed since its last answer.
 func (d *Daemon) pullTallies(name string, of Scope) {
 	ctx, cancel := context.WithTimeout(d.ctx, peerLimit)
 	defer cancel()
@@ -160,17 +156,17 @@
 	}
 	var a tallyAnswer
 	if err := conn.Unmarshal(b, &a); err != nil {
-		d.log.WithField("part", "tallies").Warnf("of %s: %v", name, err)
+		d.log.WithField("part", "tallies").Warnf("invalid tallies from %s: %v", name, err)
 		return
 	}
 	next := tallyQuestion{Source: a.Source, Edit: a.Edit}
 	if !d.takeTallies(clock.Now(), "", a.Tallies) {
-		next = tallyQuestion{} // all of it is needed anew
+		next = tallyQuestion{} // a full answer is needed
 	}
 	d.feeds.told(feed, next)
 }
 
-// answerTallies answers another reader.
+// answerTallies answers another reader's query.
 func (d *Daemon) answerTallies(body []byte) ([]byte, error) {
 	var q tallyQuestion
 	if err := conn.Unmarshal(body, &q); err != nil {
@@ -184,8 +180,8 @@
 	return conn.Marshal(a), nil
 }
 
-// answerWholeTallies answers a reader of the version before, whose questions pass both
-// ways what is to be told.
+// answerWholeTallies answers a reader of the previous software version, which sends its own news with the
+// query.
 func (d *Daemon) answerWholeTallies(from string, body []byte) ([]byte, error) {
 	var in []conn.Tally
 	if err := conn.Unmarshal(body, &in); err != nil {
@@ -195,8 +191,8 @@
 	return conn.Marshal(d.tallies.News(from, ScopeDirect)), nil
 }
 
-// takeTallies takes tallies in and charges the teams for what is new. It reports whether
-// all could be taken in.
+// takeTallies merges tallies and charges the teams for new admissions. It reports whether all could be
+// merged.
 func (d *Daemon) takeTallies(now time.Time, from string, in []conn.Tally) (whole bool) {
 	d.heard(now)
 	admitted, whole := d.tallies.Hear(now, from, in)
--- a/entry/tallytrial.go
+++ b/entry/tallytrial.go
@@ -11,15 +11,15 @@
 	"streambend.example/rollout"
 )
 
-// Answers of a service's versions are counted under keys of the order's number, the route and the
-// endpoint, or no endpoint for those of the old version.
+// Answers of a service's versions are counted under keys made of the order's number, the route and the
+// endpoint; the endpoint is empty for the old version.
 
 const trialSep = "/"
 
 func orderPrefix(order int64) string { return strconv.FormatInt(order, 36) + trialSep }
 
-// trialKey names a count. Routes and endpoints may hold any byte, and the separator in the name of
-// a route must not pass for another's.
+// trialKey returns the key of a count. Routes and endpoints may hold any byte, so the separator is replaced
+// in the route to keep keys unambiguous.
 func trialKey(order int64, route, endpoint string) string {
 	return orderPrefix(order) + strings.ReplaceAll(route, trialSep, "%") + trialSep + endpoint
 }
@@ -33,7 +33,7 @@
 	t.note(count{key, tried})
 }
 
-// Trials returns the answers of both versions since an order, at all daemons together.
+// Trials returns the answers of both versions since an order, over all daemons.
 func (t *Tallies) Trials(order int64) rollout.Counts {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -64,7 +64,7 @@
 	}
 }
 
-// DropTrials forgets what was counted for orders but some.
+// DropTrials drops the counts of all orders but those to keep.
 func (t *Tallies) DropTrials(keep []int64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
