--- a/entry/feeder.go
+++ b/entry/feeder.go
@@ -14,17 +14,17 @@
 	"streambend.example/platform"
 )
 
-// feeder follows the changes of one table.
+// feeder follows the changes of one table of the store.
 type feeder struct {
 	d     *Daemon
 	table string
-	wait  func() time.Duration // that the store holds a question
-	name  string               // for the log
+	wait  func() time.Duration // how long the store may hold a query
+	name  string               // for log lines
 }
 
-// run hands each answer to take until ctx ends: whole is true for all rows of
-// the table, false for those that have changed. It rests while other daemons
-// read for this one; known is the version that they have brought it to.
+// run passes each answer to take until ctx ends; whole is true if it holds all rows of the table, false if
+// only those that changed. It is idle while other daemons read the store for this one; known returns the
+// version that this daemon has reached through them.
 func (f *feeder) run(ctx context.Context, known func() int64, take func(now, sent time.Time, p platform.Page, whole bool) error) {
 	var at int64
 	whole, up, began := true, true, false
@@ -61,7 +61,7 @@
 		}
 		if errors.Is(err, platform.ErrHistoryGone) {
 			whole = true
-			f.d.log.WithFields(logrus.Fields{"part": f.name, "version": at}).Info("store has dropped its history, reading anew")
+			f.d.log.WithFields(logrus.Fields{"part": f.name, "version": at}).Info("store has no changes since this version, reading the whole table")
 			continue
 		}
 		if up && ctx.Err() == nil {
@@ -76,9 +76,8 @@
 	}
 }
 
-// pauses returns the first and the longest pause after a failed call. Where
-// daemons are many the readers knock for all; the others only look whether they
-// are cut off alone.
+// pauses returns the first and the longest pause after a failed call. In a large fleet the readers retry on
+// behalf of all; the others only check whether they alone are cut off.
 func (f *feeder) pauses() (first, last time.Duration) {
 	if f.d.many() && !f.d.isReader() {
 		return aloneFirstPause, aloneLastPause
@@ -86,10 +85,9 @@
 	return firstPause, lastPause
 }
 
-// ask asks for the whole table, or for what has changed. The first question for changes
-// is answered at once: others that have started with this daemon wait for its word, and
-// with the whole wait after the settlePause each of them found its list late, and asked
-// the store for itself.
+// ask reads the whole table, or what has changed. The first query for changes does not wait in the store:
+// other daemons that have started depend on this one's answer, and with the full wait after settlePause each
+// of them found its list late and queried the store itself.
 func (f *feeder) ask(ctx context.Context, at int64, whole, first bool) (platform.Page, error) {
 	if !whole && first {
 		return f.d.store.Feed(ctx, f.table, at, 0)
@@ -114,9 +112,9 @@
 	}
 }
 
-// after returns a channel that is closed when a time has passed, and what ends that
-// before. Not a timer's own channel: looked at when it is due, it crashes as a timer does that is due at
-// once (clock.LeastTimer).
+// after returns a channel that is closed after a delay, and a function that cancels it. It does not use a
+// timer's own channel: receiving from that when the timer is due crashes like a timer that is due at once
+// (clock.LeastTimer).
 func after(d time.Duration) (passed <-chan struct{}, stop func() bool) {
 	done := make(chan struct{})
 	return done, time.AfterFunc(max(d, clock.LeastTimer), func() { close(done) }).Stop
--- a/entry/outage.go
+++ b/entry/outage.go
@@ -14,40 +14,38 @@
 )
 
 const (
-	// wordLife is how long another daemon's word of its reading counts: three
-	// rounds of questions.
+	// wordLife is how long the outcome of a query to another daemon counts: three query intervals.
 	wordLife = 3 * manyPause
-	// nearShare is the share of a bound from which on something is late: what is left
-	// is time for a call to the store that answers at once.
+	// nearShare is the fraction of a bound from which on something is late: the rest is time for a call to
+	// the store that is answered at once.
 	nearShare = 0.85
-	// witnesses is how many daemons are asked at once when one does not do well: at
-	// 380 daemons a reader of 12 zones then answers 210 questions a second.
+	// witnesses is how many daemons are queried at once when one reports a failure: in a fleet of 380 with 12
+	// zones a reader then answers 210 queries a second.
 	witnesses = 3
-	// wordKept is how long the word of a daemon that is asked no more is kept.
+	// wordKept is how long the outcome for a daemon that is no longer queried is kept.
 	wordKept = 10 * wordLife
-	// servedLately is up to which age of a list its holder is served by the store: the
-	// longest wait of a question for changes, and a third as much again for its way.
+	// servedLately is the age of a list up to which the store is taken to serve its holder: the longest wait
+	// of a query for changes, and a third more for its latency.
 	servedLately = 2 * time.Second
 )
 
-// Outage collects what other daemons say of the store. A daemon's own calls fail as
-// well while its own link is full, so they alone are no proof that the store is away.
-// The zero value is ready.
+// Outage collects what other daemons report of the store. A daemon's own calls also fail while its link is
+// congested, so on their own they do not prove that the store is down. The zero value is ready to use.
 type Outage struct {
 	mu    sync.Mutex
 	words map[string]Word
 }
 
-// Word is what came of a question to another daemon.
+// Word is the outcome of a query to another daemon.
 type Word struct {
 	Reader  ReaderWord
 	Asked   time.Time
-	Catalog time.Time // its catalog is known to have been the newest then
-	Listed  time.Time // and its list of endpoints
+	Catalog time.Time // when its catalog is known to have been current
+	Listed  time.Time // the same of its list of endpoints
 }
 
-// Hear takes in what came of a question to a daemon. Silence leaves in force what the
-// daemon said to a later question, and what it was known to hold.
+// Hear records the outcome of a query to a daemon. A query without an answer overrides neither the answer to a
+// later one, nor the known freshness of what the daemon holds.
 func (o *Outage) Hear(name string, w Word) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -69,7 +67,7 @@
 	}
 }
 
-// Horizon picks one of a word's moments.
+// Horizon selects one of the moments of a Word.
 type Horizon func(Word) time.Time
 
 // Horizons of the catalog and of the list of endpoints.
@@ -78,9 +76,9 @@
 	OfList    Horizon = func(w Word) time.Time { return w.Listed }
 )
 
-// Certain reports whether the store fails everybody: so many daemons as are needed
-// have been asked lately, each has said so or is silent, and one at least has said so.
-// Whoever holds something younger than bound speaks against it, whatever it says.
+// Certain reports whether the store fails for all daemons: at least need of them were queried recently, each
+// reported a failure or did not answer, and at least one reported it. A daemon that holds data younger than
+// bound disproves it, whatever it reports.
 func (o *Outage) Certain(now time.Time, need int, of Horizon, bound time.Duration) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -98,8 +96,8 @@
 	return failing && asked >= need
 }
 
-// Witnesses returns the daemons that one asks whether the store fails everybody: the
-// readers that it asks anyway, then others in an order of its own.
+// Witnesses returns the daemons to query for whether the store fails for all: first the readers that self
+// queries anyway, then others in an order that differs between daemons.
 func Witnesses(self conn.Member, members []conn.Member) []string {
 	out := ReadersFor(self, members)
 	if len(out) >= witnesses {
@@ -117,8 +115,7 @@
 	return append(out, others[:min(len(others), witnesses-len(out))]...)
 }
 
-// outageFor reports whether the store fails everybody, so that nothing younger than
-// what this daemon holds is to be had.
+// outageFor reports whether the store fails for all, so that no data younger than this daemon's can be had.
 func (d *Daemon) outageFor(now time.Time, held *Freshness, of Horizon, bound time.Duration) bool {
 	if d.only(held) {
 		return d.feedsDown.Load() > 0
@@ -126,17 +123,17 @@
 	return d.outage.Certain(now, min(witnesses, len(d.others())), of, bound)
 }
 
-// catalogCurrent reports whether requests may be admitted by a catalog of an age: it
-// is within its bound, or nothing younger is to be had. Not the speed of its spreading
-// but this keeps the bound, at each use.
+// catalogCurrent reports whether requests may be admitted with a catalog of some age: it is within its bound,
+// or no younger one can be had. The bound holds because of this check at each use, not because of the speed at
+// which configuration spreads.
 func (d *Daemon) catalogCurrent(now time.Time, age time.Duration) bool {
 	bound := d.Site().Bounds.Configuration
 	return age <= bound || d.outageFor(now, &d.catalog.fresh, OfCatalog, bound)
 }
 
-// only reports whether there is no other daemon: there has never been one, but for
-// some that have stopped as planned, or the store has brought what is held up to date
-// after all were gone, so that it is not this daemon's link that makes them silent.
+// only reports whether there is no other daemon: there never was one, except for some that stopped as planned,
+// or the store has refreshed what is held after all others were gone, so that it is not this daemon's link
+// that keeps them from answering.
 func (d *Daemon) only(held *Freshness) bool {
 	if _, known := d.Hub.Mesh.Counts(); known < 2 {
 		return d.Site().First || d.contact.counted.Load()
@@ -145,8 +142,8 @@
 	return since != nil && held.After(*since)
 }
 
-// noteOutage notes while the store fails everybody: entries of endpoints lapse then.
-// Whoever is served lately speaks against it, and this daemon itself first.
+// noteOutage records that the store fails for all; entries of endpoints expire then. A daemon that the store
+// served recently disproves it, this daemon first of all.
 func (d *Daemon) noteOutage(now time.Time) {
 	age, _ := d.runners.fresh.Age(now)
 	if d.feedsDown.Load() > 0 && age > servedLately && d.outageFor(now, &d.runners.fresh, OfList, servedLately) {
@@ -154,12 +151,12 @@
 	}
 }
 
-// listBound is the age up to which the list of endpoints decides where a request is
-// sent: by then it must have reached its endpoint.
+// listBound is the age up to which the list of endpoints may be used to route a request, which must have
+// reached its endpoint by then.
 func (d *Daemon) listBound() time.Duration { return d.Site().Bounds.Drain - sendMargin }
 
-// listed returns until when a request may be on its way to an endpoint that is chosen
-// now, zero for no limit, and false if the list is too old to choose by.
+// listed returns until when a request may be in transit to an endpoint that is chosen now, zero for no limit,
+// and false if the list is too old to choose from.
 func (d *Daemon) listed(now time.Time) (until time.Time, ok bool) {
 	age, known := d.runners.fresh.Age(now)
 	if bound := d.listBound(); known && age <= bound {
@@ -168,18 +165,17 @@
 	return time.Time{}, known && d.outageFor(now, &d.runners.fresh, OfList, d.listBound())
 }
 
-// late reports whether what a daemon holds has come close to a bound, so that it
-// looks for something younger by every way.
+// late reports whether data is so close to its bound that a daemon tries every source for a younger copy.
 func late(age, bound time.Duration) bool { return age > lateAt(bound) }
 
-// lateAt is the age from which on something with a bound is late.
+// lateAt returns the age from which on data with a bound is late.
 func lateAt(bound time.Duration) time.Duration {
 	return min(peerAge, time.Duration(nearShare*float64(bound)))
 }
 
-// FeedWait returns how long the store may hold a question for changes of what is of an age: at most a
-// time, and not beyond the moment from which on it is late. A question that is under way by then would
-// be answered after the bound.
+// FeedWait returns how long the store may hold a query for changes to data of some age: at most most, and not
+// beyond the moment from which on the data is late. A query still waiting then would be answered after the
+// bound.
 func FeedWait(age, bound, most time.Duration) time.Duration {
 	return max(min(most, lateAt(bound)-age), 0)
 }
--- a/entry/peers.go
+++ b/entry/peers.go
@@ -14,71 +14,68 @@
 )
 
 const (
-	// peerPause is the time between two questions to other daemons for what they
-	// have read of the store, and manyPause the same where the daemons are many
-	// and a reader answers some twenty. Both leave a daemon far below peerAge.
+	// peerPause is the interval of queries to other daemons for what they have read from the store;
+	// manyPause is the same in a large fleet, where a reader answers some twenty daemons. Both are far below
+	// peerAge.
 	peerPause = 300 * time.Millisecond
 	manyPause = 450 * time.Millisecond
-	// quickPause is the time between two questions where the daemons are many and the
-	// sooner they hear of each other the less they admit beyond a team's limit: while some
-	// team is near its limit, and for youngFor after a start, before which nothing is
-	// known. 60 daemons let 1,033 and 1,099 requests through in 8 s for a team at 6 and 9
-	// times its limit, of 1,025 allowed, with manyPause, and 853 to 888 with this. 60 that
-	// start anew every 2 s, asked for four times a limit, let 1,076 to 1,188 through of the 900
-	// allowed in 8 s, and 1,423 with manyPause.
+	// quickPause is the interval in a large fleet while some team is near its limit, and for youngFor after
+	// a start, before which nothing is known: the sooner daemons learn of each other's admissions, the less
+	// exceeds a limit. For a team at 6 and 9 times its limit, 60 daemons admitted 1,033 and 1,099 requests in
+	// 8 s with manyPause, of 1,025 allowed, and 853 to 888 with quickPause. At four times a limit, 60 daemons
+	// that restart every 2 s admitted 1,076 to 1,188 of 900 allowed in 8 s, and 1,423 with manyPause.
 	quickPause = 150 * time.Millisecond
 	youngFor   = 2 * time.Second
-	// startPause is the time until a daemon that has started anew asks again as long as
-	// nobody has told it what is admitted, doubled each time up to the usual one: until
-	// then it may use its own part of each limit only, and of 120 that started together
-	// all requests of the first half second were refused, with the usual pause alone.
+	// startPause is the first interval after a restart until another daemon has reported what is admitted;
+	// it doubles up to the usual one. Until that report a daemon may use only its own share of each limit:
+	// with the usual interval alone, 120 daemons that started together refused all requests of the first
+	// half second.
 	startPause = 20 * time.Millisecond
-	// peerAge is the age of the catalog or of the list of endpoints from which a
-	// daemon reads the store itself, at the latest, although others should do so for
-	// it. What comes through a reader is no older than a feed's wait and a round of
-	// questions, and a weak box may be late to ask.
+	// peerAge is the age of the catalog or of the list of endpoints from which a daemon at the latest reads
+	// the store itself instead of relying on others. Data from a reader is no older than a feed's wait and
+	// one query interval, and a weak box may send its query late.
 	peerAge = 2 * time.Second
-	// peerLimit is how long an answer may take.
+	// peerLimit is the timeout of a query.
 	peerLimit = 700 * time.Millisecond
-	// slowAnswer is from when on an answer is told of in the log: half of peerLimit.
+	// slowAnswer is the duration from which an answer is logged as late.
 	slowAnswer = peerLimit / 2
 )
 
-// askFresh is the question between daemons for what the store holds.
+// askFresh is the query between daemons for the content of the store.
 const askFresh = "fresh"
 
-// freshQuestion says what the asker has.
+// freshQuestion describes what the asker already has.
 type freshQuestion struct {
 	Catalog int64    `codec:"c"`           // version of its catalog
 	Runners int64    `codec:"r"`           // the store's version of its endpoints
-	Fetch   bool     `codec:"f,omitempty"` // it wants the next piece of a newer catalog
-	Got     progress `codec:"g"`           // what it has of one
+	Fetch   bool     `codec:"f,omitempty"` // requests the next piece of a newer catalog
+	Got     progress `codec:"g"`           // pieces that the asker has
 
-	Tally   *conn.Tally `codec:"t,omitempty"` // the asker's own, where the daemons are many
-	Started bool        `codec:"l,omitempty"` // it has just started, and wants to know the time of day and what the teams' limits hold
+	Tally   *conn.Tally `codec:"t,omitempty"` // the asker's own, in a large fleet
+	Started bool        `codec:"l,omitempty"` // has just started; requests the time of day and the teams' bucket levels
 }
 
-// freshAnswer brings the asker up to the answerer's state.
+// freshAnswer brings the asker up to the answering daemon's state.
 type freshAnswer struct {
 	Known   bool          `codec:"k"`
-	Empty   bool          `codec:"z,omitempty"` // the answerer reads the store, and there is no configuration in it yet
-	Failing bool          `codec:"f,omitempty"` // the answerer reads the store, and it fails
-	Age     time.Duration `codec:"a"`           // of the answerer's knowledge
+	Empty   bool          `codec:"z,omitempty"` // its reads of the store succeed, but there is no configuration yet
+	Failing bool          `codec:"f,omitempty"` // its reads of the store fail
+	Age     time.Duration `codec:"a"`           // of the answering daemon's catalog
 	Catalog int64         `codec:"c"`
-	At      int64         `codec:"p"`           // the store's version up to which that is the newest
-	Piece   *piece        `codec:"v,omitempty"` // of a newer one
-	Fetched bool          `codec:"d,omitempty"` // the asker wanted a piece
+	At      int64         `codec:"p"`           // store version up to which that catalog is the newest
+	Piece   *piece        `codec:"v,omitempty"` // of a newer catalog
+	Fetched bool          `codec:"d,omitempty"` // the asker requested a piece
 	Runners int64         `codec:"r"`
-	Listed  time.Duration `codec:"l"`           // age of the answerer's list of endpoints
-	Entries []entryRow    `codec:"e,omitempty"` // the endpoints that have changed since the asker's version
-	Whole   bool          `codec:"h,omitempty"` // they are all endpoints
-	Orders  []orderWord   `codec:"o,omitempty"` // to move services to a version, as of the catalog
-	Daemons int           `codec:"n,omitempty"` // how many daemons the answerer knows of; 0 until it has counted them
+	Listed  time.Duration `codec:"l"`           // age of the answering daemon's list of endpoints
+	Entries []entryRow    `codec:"e,omitempty"` // endpoints that changed since the asker's version
+	Whole   bool          `codec:"h,omitempty"` // Entries holds all endpoints
+	Orders  []orderWord   `codec:"o,omitempty"` // rollout orders, as of the catalog
+	Daemons int           `codec:"n,omitempty"` // daemons known to the answering one; 0 until it has counted them
 
-	Source string           `codec:"s,omitempty"` // the answerer's start
-	Flow   map[string]int64 `codec:"w,omitempty"` // what others admit, by team, since then
-	Levels map[string]int64 `codec:"q,omitempty"` // what each team's limit holds, by team, if asked
-	Day    int64            `codec:"y,omitempty"` // the time of day if asked, Unix nanoseconds; 0 if the answerer has just started too
+	Source string           `codec:"s,omitempty"` // the answering daemon's process
+	Flow   map[string]int64 `codec:"w,omitempty"` // units admitted by others, by team, since that process started
+	Levels map[string]int64 `codec:"q,omitempty"` // bucket level of each team, if requested
+	Day    int64            `codec:"y,omitempty"` // time of day if requested, Unix nanoseconds; 0 if the answering daemon has just started
 }
 
 type entryRow struct {
@@ -87,8 +84,8 @@
 	Gone  bool   `codec:"g,omitempty"`
 }
 
-// readsStore reports whether this daemon reads the store itself: it is its
-// zone's reader, all readers fail, or what it hears from others is too old.
+// readsStore reports whether this daemon reads the store itself: it is its zone's reader, all readers fail,
+// or what it has received from others is too old.
 func (d *Daemon) readsStore(now time.Time) bool {
 	if d.catalog.get() == nil && d.contact.readerWaits(now) {
 		return d.isReader()
@@ -96,7 +93,7 @@
 	return d.behind(now) || d.isReader() || d.readerTurn.Failed() >= len(d.roster().Asked)
 }
 
-// askPause is the time between two questions to other daemons.
+// askPause returns the interval of queries to other daemons.
 func (d *Daemon) askPause(now time.Time) time.Duration {
 	switch {
 	case !d.many():
@@ -107,11 +104,10 @@
 	return manyPause
 }
 
-// askEarly asks readers in turn, its own zone's first, until one has told the time of day
-// and, where the daemons are many, what others admit and what the teams' limits hold, so
-// that a daemon knows by the time it is ready. It does not ask before it has a catalog and
-// endpoints of its own, which the store gives to all at once and a reader on one link to
-// each in turn.
+// askEarly queries readers in turn, its own zone's first, until one has reported the time of day and, in a
+// large fleet, admissions and bucket levels, so that a daemon has them by the time it is ready. It waits
+// until the daemon has a catalog and endpoints: the store serves all daemons in parallel, a reader sends
+// them one after the other over each link.
 func (d *Daemon) askEarly(ctx context.Context) {
 	if d.Site().First {
 		return
@@ -129,7 +125,7 @@
 	}
 }
 
-// askPeers asks a reader, unless this daemon reads the store with success.
+// askPeers queries a reader, unless this daemon reads the store with success.
 func (d *Daemon) askPeers(ctx context.Context, now time.Time) {
 	old := d.behind(now)
 	if d.isReader() && !old {
@@ -154,15 +150,15 @@
 	if !old || len(others) == 0 {
 		return
 	}
-	// Each in turn, as whoever is cut off may be so with its zone; from a place of
-	// one's own, or all that are behind ask the same daemon at once.
+	// Others in turn, since the zone of a daemon that is cut off may be cut off with it. The start
+	// differs between daemons, so that those that are behind do not query the same one at once.
 	d.asked++
 	m := others[(d.asked+int(daemonNumber(d.Self.Name)%uint32(len(others))))%len(others)]
 	d.run(func() { d.askPeer(ctx, m.Name) })
 }
 
-// askWitnesses asks at once those that can say whether the store fails everybody,
-// but for one that has just been asked.
+// askWitnesses queries at once, but for one daemon that was just queried, those that can confirm whether the
+// store fails for all.
 func (d *Daemon) askWitnesses(ctx context.Context, but string) {
 	for _, name := range d.roster().Witness {
 		if name != but {
@@ -171,10 +167,9 @@
 	}
 }
 
-// hearReader takes in the word of a reader. That the store fails readers says
-// nothing of what has lapsed there, as just they may be cut off; once all fail,
-// this daemon reads for itself and sees. That one does well ends an outage which
-// this daemon has had.
+// hearReader records the outcome of a query to a reader. A reader whose reads fail proves nothing about
+// expired entries, since the readers themselves may be cut off; once all fail, this daemon reads the store
+// and finds out. A reader whose reads succeed ends an outage that this daemon has recorded.
 func (d *Daemon) hearReader(at int, name string, w ReaderWord) {
 	if d.readerTurn.Heard(at, w) {
 		d.log.WithFields(logrus.Fields{
@@ -186,9 +181,8 @@
 	}
 }
 
-// askPeer asks one daemon, and returns what it says of its reading. If it has a newer
-// catalog it is asked for that, piece after piece; one daemon at a time is, as a link
-// has room for one.
+// askPeer queries one daemon and returns the state of its reads. If that daemon has a newer catalog, askPeer
+// fetches it piece by piece, from one daemon at a time, as a link has room for one catalog.
 func (d *Daemon) askPeer(ctx context.Context, name string) ReaderWord {
 	fetch := false
 	for {
@@ -207,8 +201,8 @@
 	}
 }
 
-// hearPeer asks one daemon and takes its answer in. It returns what came of that, and
-// whether the daemon has more of a newer catalog.
+// hearPeer sends one query to a daemon and applies its answer. It returns the outcome, and whether the daemon
+// has more of a newer catalog.
 func (d *Daemon) hearPeer(ctx context.Context, name string, fetch bool) (w Word, more bool) {
 	ctx, cancel := context.WithTimeout(ctx, peerLimit)
 	defer cancel()
@@ -226,18 +220,18 @@
 	b, err := d.Hub.Ask(ctx, name, askFresh, conn.Marshal(q))
 	d.logAnswer(name, clock.Since(sent), len(b), err)
 	if err != nil {
-		return w, false // the next round asks again, or another
+		return w, false // the next round queries it again, or another daemon
 	}
 	var a freshAnswer
 	if err := conn.Unmarshal(b, &a); err != nil {
-		d.log.WithField("part", "peers").Warnf("answer of %s: %v", name, err)
+		d.log.WithField("part", "peers").Warnf("invalid answer from %s: %v", name, err)
 		return w, false
 	}
 	if a.Known {
 		more = d.takeFresh(sent, name, a)
 	}
 	if _, known := d.Hub.Mesh.Counts(); a.Daemons > 0 && known >= a.Daemons {
-		d.contact.counted.Store(true) // the links have brought all that the other has counted
+		d.contact.counted.Store(true) // every member that the other daemon counted is known here
 	}
 	if q.Started && (len(a.Levels) > 0 || q.Tally == nil) && !d.contact.levelled.Swap(true) {
 		d.begin(sent, a)
@@ -263,11 +257,11 @@
 	return w, more
 }
 
-// settledAfter is how long after its start a daemon tells others the time of day: by then
-// one that has run for longer has told it, or none has.
+// settledAfter is how long after its start a daemon reports the time of day to others: by then it has
+// received it from one that has run for longer, or there is none.
 const settledAfter = 10 * time.Second
 
-// begin takes over what a daemon that has been at work tells one that has just started.
+// begin adopts bucket levels and the time of day from a daemon that has run for longer.
 func (d *Daemon) begin(sent time.Time, a freshAnswer) {
 	now := clock.Now()
 	d.quotas.Adopt(now, d.teams(), a.Levels)
@@ -276,7 +270,7 @@
 	}
 }
 
-// logAnswer tells of an answer of another daemon that failed or came late.
+// logAnswer logs an answer of another daemon that failed or came late.
 func (d *Daemon) logAnswer(name string, took time.Duration, size int, err error) {
 	d.meters.asked.Update(took.Milliseconds())
 	if err == nil && took < slowAnswer {
@@ -287,7 +281,7 @@
 	}).Info("another daemon's answer is late or missing")
 }
 
-// takeFresh takes an answer in, and reports whether more of its catalog is to come.
+// takeFresh applies an answer, and reports whether more of its catalog is to come.
 func (d *Daemon) takeFresh(sent time.Time, name string, a freshAnswer) (more bool) {
 	d.rollouts.hearAll(sent, a.At, a.Orders)
 	if a.Piece == nil {
@@ -299,7 +293,7 @@
 			err = d.catalog.adopt(value, name)
 		}
 		if err != nil {
-			d.log.WithField("part", "catalog").Warnf("catalog of %s: %v", name, err)
+			d.log.WithField("part", "catalog").Warnf("catalog from %s: %v", name, err)
 		}
 		more = rest && err == nil
 	}
@@ -320,7 +314,7 @@
 	return more
 }
 
-// answerFresh answers another daemon's question.
+// answerFresh answers another daemon's query.
 func (d *Daemon) answerFresh(body []byte) ([]byte, error) {
 	var q freshQuestion
 	if err := conn.Unmarshal(body, &q); err != nil {
@@ -341,7 +335,7 @@
 		_, a.Daemons = d.Hub.Mesh.Counts()
 	}
 	now := clock.Now()
-	age, ok := d.catalog.fresh.Age(now) // before the state is read, so that it is not newer than that
+	age, ok := d.catalog.fresh.Age(now) // before the state is read, so that the state is not older than its age says
 	listed, _ := d.runners.fresh.Age(now)
 	a.At = d.catalog.at.Load()
 	f := d.catalog.cur.Load()
--- a/entry/readers.go
+++ b/entry/readers.go
@@ -12,9 +12,9 @@
 	"streambend.example/conn"
 )
 
-// Reader returns the daemon of a zone that reads the store for the others, or
-// false if the zone has none: of those with the most processor time the first by
-// rendezvous, as all others of the zone ask it some times a second.
+// Reader returns the daemon that reads the store for the others of a zone, or false if the zone has none. It
+// is the one with the most processor time, since all others of the zone query it several times a second; ties
+// are decided by a hash of the name.
 func Reader(zone string, members []conn.Member) (conn.Member, bool) {
 	var best conn.Member
 	var most uint64
@@ -46,9 +46,9 @@
 	return out
 }
 
-// ReadersFor returns the readers that a daemon asks for what the store holds:
-// its own zone's first, unless it is that, then those of the other zones, in an
-// order of its own so that one that stands in is not asked by all.
+// ReadersFor returns the readers that a daemon queries for the content of the store: its own zone's first,
+// unless that is the daemon itself, then those of the other zones. Their order differs between daemons, so
+// that the load of a failed reader is spread.
 func ReadersFor(self conn.Member, members []conn.Member) []string {
 	others := otherReaders(self.Zone, members)
 	slices.SortFunc(others, func(a, b string) int {
@@ -60,21 +60,20 @@
 	return others
 }
 
-// Roster is who reads the store for whom, as one daemon sees it with some members.
+// Roster holds the readers as one daemon sees them, for one list of members.
 type Roster struct {
-	Reader  conn.Member // of its zone
-	Known   bool        // its zone has a reader
-	Asked   []string    // what ReadersFor returns
-	Beyond  []string    // the readers of the other zones
-	Witness []string    // what Witnesses returns
+	Reader  conn.Member // of the daemon's zone
+	Known   bool        // the zone has a reader
+	Asked   []string    // result of ReadersFor
+	Beyond  []string    // readers of the other zones
+	Witness []string    // result of Witnesses
 
 	members []conn.Member
 }
 
-// NewRoster works the roster of a daemon out. It chooses among all members, so it is
-// kept as long as they stay the same: asked for ten times a second by each feed, the
-// choice among 295 was a tenth of what an idle daemon costs (processor profile of 295
-// daemons on stand-ins).
+// NewRoster computes the roster of a daemon. It ranks all members, so callers keep it as long as the members
+// stay the same: computed ten times a second for each feed, it took a tenth of the processor time of an idle
+// daemon among 295.
 func NewRoster(self conn.Member, members []conn.Member) *Roster {
 	r := &Roster{
 		Asked: ReadersFor(self, members), Beyond: otherReaders(self.Zone, members), Witness: Witnesses(self, members),
@@ -84,12 +83,12 @@
 	return r
 }
 
-// of reports whether the roster is that of the very same list of members.
+// of reports whether the roster was computed from this very slice of members.
 func (r *Roster) of(members []conn.Member) bool {
 	return len(r.members) == len(members) && len(members) > 0 && &r.members[0] == &members[0]
 }
 
-// roster returns the roster with the members that are known now.
+// roster returns the roster for the current members.
 func (d *Daemon) roster() *Roster {
 	members := d.Hub.Mesh.Members()
 	if r := d.lastRoster.Load(); r != nil && r.of(members) {
@@ -100,34 +99,34 @@
 	return r
 }
 
-// returnAfter is after how many good answers of another zone's reader the own
-// zone's is asked again.
+// returnAfter is how many successful answers of another zone's reader it takes until the own zone's reader
+// is queried again.
 const returnAfter = 10
 
-// ReaderWord is what came of a question to a reader.
+// ReaderWord is the outcome of a query to a reader.
 type ReaderWord int
 
-// The words of a reader.
+// Outcomes of a query to a reader.
 const (
 	ReaderSilent  ReaderWord = iota // no answer
-	ReaderFailing                   // the store fails it
-	ReaderWell                      // it reads the store with success
-	ReaderEmpty                     // it does, and there is no configuration in it yet
+	ReaderFailing                   // its reads of the store fail
+	ReaderWell                      // its reads of the store succeed
+	ReaderEmpty                     // its reads succeed, but the store holds no configuration yet
 )
 
-// String returns the word's name.
+// String returns the outcome's name.
 func (w ReaderWord) String() string { return [...]string{"silent", "failing", "well", "empty"}[w] }
 
-// ReaderTurn says which of some readers is asked next: the same as long as it
-// does well, else the next. The zero value begins with the first.
+// ReaderTurn selects the reader to query: the same one while its answers are good, then the next. The zero
+// value starts with the first reader.
 type ReaderTurn struct {
 	mu    sync.Mutex
 	at    int
-	fails int // in a row, each another reader's
-	good  int // answers of the present reader
+	fails int // consecutive failures, each of another reader
+	good  int // good answers of the current reader
 }
 
-// Next returns the place of the reader to ask among count.
+// Next returns the index of the reader to query among count.
 func (t *ReaderTurn) Next(count int) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -137,16 +136,16 @@
 	return t.at
 }
 
-// Heard takes in the word of the reader at a place, and reports whether another
-// one is asked from now on.
+// Heard records the outcome of a query to the reader at an index, and reports whether another reader is
+// queried from now on.
 func (t *ReaderTurn) Heard(at int, w ReaderWord) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if at != t.at {
-		return false // a word that comes late says nothing of the present reader
+		return false // a late outcome of a previous reader
 	}
 	if w == ReaderEmpty {
-		return false // as much as any other has
+		return false // no other reader has more
 	}
 	if w != ReaderWell {
 		t.at++
@@ -161,7 +160,7 @@
 	return t.at != at
 }
 
-// Failed returns how many readers in a row have not done well.
+// Failed returns how many readers in a row have failed.
 func (t *ReaderTurn) Failed() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
