--- a/entry/codec.go
+++ b/entry/codec.go
@@ -10,12 +10,12 @@
 	"streambend.example/request"
 )
 
-// codec speaks the platform's protocol towards endpoints for one request.
+// codec translates headers between one request and the platform's protocol for endpoints.
 type codec struct {
-	in      http.Header // the caller's headers that go on
+	in      http.Header // the caller's headers that are forwarded
 	team    string
-	urgency int             // 0 first; negative for not said
-	unknown *unknownHeaders // is shown each answer's headers
+	urgency int             // 0 is the most urgent; negative if not given
+	unknown *unknownHeaders // checks the headers of each answer
 }
 
 // Head implements request.Codec.
--- a/entry/contact.go
+++ b/entry/contact.go
@@ -11,28 +11,28 @@
 	"streambend.example/version"
 )
 
-// contact is how far a daemon is in touch with the others.
+// contact records how far a daemon is in touch with the others.
 type contact struct {
-	began      time.Time                 // of the daemon
-	told       chan struct{}             // closed once another daemon has told what it admits
-	heardAt    atomic.Int64              // when one did last, nanoseconds after began; 0 for never
-	levelled   atomic.Bool               // one has told what the teams' limits hold
-	counted    atomic.Bool               // how many daemons there are was read in the store, or told by one that has
-	cutOff     atomic.Bool               // none is heard
-	readerLost atomic.Int64              // when another reader did not answer last, nanoseconds after began; 0 for never
-	emptyAt    atomic.Int64              // when a reader said last that there is no configuration yet, nanoseconds after began; 0 for never
-	aloneSince atomic.Pointer[time.Time] // none is alive since then; nil while one is
+	began      time.Time                 // start of the daemon
+	told       chan struct{}             // closed on the first report of what another daemon admits
+	heardAt    atomic.Int64              // time of the last such report, nanoseconds after began; 0 for never
+	levelled   atomic.Bool               // bucket levels were received
+	counted    atomic.Bool               // the number of daemons was read from the store, or received from a daemon that has it
+	cutOff     atomic.Bool               // no other daemon is reached
+	readerLost atomic.Int64              // last failed query to another reader, nanoseconds after began; 0 for never
+	emptyAt    atomic.Int64              // last answer of a reader without a configuration, nanoseconds after began; 0 for never
+	aloneSince atomic.Pointer[time.Time] // since when no other daemon is alive; nil while one is
 }
 
 func newContact(now time.Time) contact { return contact{began: now, told: make(chan struct{})} }
 
-// since returns a moment as it is kept: never 0.
+// since returns a moment as nanoseconds after began, at least 1 as 0 stands for never.
 func (c *contact) since(now time.Time) int64 { return max(1, int64(now.Sub(c.began))) }
 
-// unheard reports whether no daemon has told yet what it admits.
+// unheard reports whether no other daemon has reported yet what it admits.
 func (c *contact) unheard() bool { return c.heardAt.Load() == 0 }
 
-// hear notes that another daemon tells what it admits, and reports whether it is the first.
+// hear records a report of what another daemon admits; first is true for the first one.
 func (c *contact) hear(now time.Time) (first bool) {
 	first = c.heardAt.Swap(c.since(now)) == 0
 	if first {
@@ -41,35 +41,34 @@
 	return first
 }
 
-// silent returns for how long no daemon was heard.
+// silent returns the time since the last report of another daemon.
 func (c *contact) silent(now time.Time) time.Duration {
 	return now.Sub(c.began) - time.Duration(c.heardAt.Load())
 }
 
-// loseReader notes that another reader has not answered.
+// loseReader records a failed query to another reader.
 func (c *contact) loseReader(now time.Time) { c.readerLost.Store(c.since(now)) }
 
-// readerMissing reports whether another reader has not answered lately.
+// readerMissing reports whether a query to another reader has failed recently.
 func (c *contact) readerMissing(now time.Time) bool {
 	lost := c.readerLost.Load()
 	return lost > 0 && now.Sub(c.began)-time.Duration(lost) < detourFor
 }
 
-// emptyLife is how long a reader's word that there is no configuration yet keeps others
-// from looking for themselves: some rounds of questions.
+// emptyLife is how long other daemons leave the store alone after a reader has found no configuration in it:
+// some query intervals.
 const emptyLife = time.Second
 
-// hearEmpty notes that a reader waits for the first configuration.
+// hearEmpty records that a reader waits for the first configuration.
 func (c *contact) hearEmpty(now time.Time) { c.emptyAt.Store(c.since(now)) }
 
-// readerWaits reports whether a reader has said lately that it waits for the first
-// configuration.
+// readerWaits reports whether a reader recently waited for the first configuration.
 func (c *contact) readerWaits(now time.Time) bool {
 	at := c.emptyAt.Load()
 	return at > 0 && now.Sub(c.began)-time.Duration(at) < emptyLife
 }
 
-// noteAlone brings up to date since when no other daemon is alive.
+// noteAlone updates since when no other daemon is alive.
 func (c *contact) noteAlone(now time.Time, alone bool) {
 	switch {
 	case !alone:
@@ -79,7 +78,7 @@
 	}
 }
 
-// share is the part of a limit over all daemons that this one may use.
+// share returns the fraction of a limit over all daemons that this one may use.
 func (d *Daemon) share() float64 { return d.fleet().LimitShare() }
 
 // fleet returns what this daemon knows of the others.
@@ -90,26 +89,27 @@
 	return f
 }
 
-// judgeCutOff brings up to date whether this daemon, one of many, hears nobody.
+// judgeCutOff updates whether this daemon, in a large fleet, reaches no other.
 func (d *Daemon) judgeCutOff(now time.Time) {
 	silent := d.contact.silent(now)
 	cut := d.many() && silent > aloneAfter
 	if d.contact.cutOff.Swap(cut) != cut {
 		d.log.WithFields(logrus.Fields{"part": "peers", "cut_off": cut, "silent_ms": silent.Milliseconds()}).
-			Info("other daemons heard or not: decides the part of each limit that is used")
+			Info("contact with other daemons lost or regained: the share of each limit in use changes")
 	}
 }
 
-// heard notes that another daemon has told what it and others admit.
+// heard records a report of what other daemons admit.
 func (d *Daemon) heard(now time.Time) {
 	if d.many() && d.contact.unheard() {
-		// While the share is its own part: each of many that start together would
-		// find half of every limit. A few find that, and hear of each other at once.
+		// Creates the buckets while the share is still this daemon's own: otherwise each of many daemons
+		// that start together would begin with half of every limit. In a small fleet each does, and they
+		// learn of each other's admissions at once.
 		d.quotas.Levels(now, d.teams(), d.share())
 	}
 	if d.contact.hear(now) {
 		d.log.WithFields(logrus.Fields{"part": "peers", "after_ms": now.Sub(d.began).Milliseconds(), "members": len(d.Hub.Mesh.Members())}).
-			Info("told for the first time what others admit: limits are used whole from now on")
+			Info("first report of what other daemons admit: limits are used in full from now on")
 	}
 }
 
--- a/entry/crashes.go
+++ b/entry/crashes.go
@@ -10,13 +10,12 @@
 	"streambend.example/request"
 )
 
-// What daemons see of requests under which endpoints crash goes to those who weigh it: all
-// of a few daemons, and the zones' readers where daemons are many, since at most a dozen
-// readers then hear of each end, not each daemon from each of its sixteen links. What
-// follows from it all daemons are told.
+// Daemons report requests under which endpoints crash to those that evaluate them: to all in a small fleet,
+// to the zones' readers in a large one. At most a dozen readers then receive each report, instead of every
+// daemon over each of its sixteen links. The resulting decisions go to all daemons.
 
-// holdsAgain is how often neighbours are told again which requests are held back. A daemon
-// that was cut off knows them by the time it counts as reached, after 3 s.
+// holdsAgain is the interval at which neighbours are sent the held requests again. A daemon that was cut off
+// has them by the time it counts as reachable, after 3 s.
 const holdsAgain = time.Second
 
 func (d *Daemon) holdShare() request.HoldShare {
@@ -27,7 +26,7 @@
 	}
 }
 
-// weighCrash sends the end of an endpoint to the daemons that weigh it.
+// weighCrash sends the crash of an endpoint to the daemons that evaluate it.
 func (d *Daemon) weighCrash(p conn.Payload) {
 	r := d.roster()
 	switch {
@@ -40,7 +39,7 @@
 	}
 }
 
-// passCrash passes on what a daemon of this reader's zone has seen.
+// passCrash forwards crash reports from a daemon of this reader's zone.
 func (d *Daemon) passCrash(from string, p conn.Payload) {
 	if d.many() && d.isReader() && d.inZone(from) {
 		d.giveAll(d.roster().Beyond, conn.Payload{Crashes: p.Crashes})
@@ -53,11 +52,11 @@
 	}
 }
 
-// loadHolds reads which requests are held back: once after a start, when this daemon knows whether
-// it reads for others, and again and again while it hears too few others to be told. Where daemons
-// are many the readers tell the rest.
+// loadHolds reads the held requests from the store: once after a start, when this daemon knows whether it is a
+// reader, and repeatedly while it reaches too few others to receive them. In a large fleet the readers inform
+// the rest.
 func (d *Daemon) loadHolds(ctx context.Context) {
-	// As the whole system begins there is nothing to read yet.
+	// When the whole system starts there is nothing to read yet.
 	for due := !d.Site().First; ctx.Err() == nil; sleep(ctx, holdsAgain) {
 		for due && ctx.Err() == nil && !d.contact.counted.Load() {
 			sleep(ctx, tickPeriod)
--- a/entry/flow.go
+++ b/entry/flow.go
@@ -8,35 +8,32 @@
 )
 
 const (
-	// flowPatience is how long after a reader's last word the others are taken to
-	// go on admitting as before: two rounds of questions and an answer's way.
+	// flowPatience is how long after a reader's last report the others are assumed to go on admitting at the
+	// same rate: two query intervals and the latency of an answer.
 	flowPatience = time.Second
-	// flowAssumed is for how long that is assumed at the most; by then a daemon
-	// that hears nobody uses only its own part of each limit.
+	// flowAssumed bounds that assumption; after it a daemon that reaches no other uses only its own share of
+	// each limit.
 	flowAssumed = 4 * time.Second
-	// flowWeight is the weight of the newest word in the rate that is assumed.
+	// flowWeight is the weight of the newest report in the estimated rate.
 	flowWeight = 0.5
-	// aloneAfter is after how long without a word of any other a daemon among many
-	// takes itself to be cut off. The overlay notices that only of neighbours, and
-	// 3.5 s late; a word comes every 450 ms.
+	// aloneAfter is how long a daemon of a large fleet receives no report until it considers itself cut off.
+	// The overlay detects only lost neighbours, and after 3.5 s; a report comes every 450 ms.
 	aloneAfter = 1500 * time.Millisecond
 )
 
-// FlowReader follows what other daemons admit by the word of one reader at a
-// time. A word of the same reader tells exactly what was admitted since its last
-// one. For the time until then, and for the change to another reader, whose sums
-// begin elsewhere, it assumes the rate seen before. The zero value is ready.
+// FlowReader tracks what other daemons admit from the reports of one reader at a time. Two reports of the
+// same reader give exactly what was admitted between them. Until the next report, and when the reader changes,
+// whose sums have another origin, it assumes the rate seen before. The zero value is ready to use.
 type FlowReader struct {
 	mu      sync.Mutex
-	source  string // the reader's start
+	source  string // the reader's process
 	seen    map[string]int64
-	at      time.Time          // of the last word
-	rate    map[string]float64 // units a second, by team
-	assumed map[string]float64 // counted since the last word without having been told
+	at      time.Time          // of the last report
+	rate    map[string]float64 // units per second, by team
+	assumed map[string]float64 // counted since the last report by assumption
 }
 
-// Take returns what is to be counted with a reader's word: its sums of what
-// others have admitted, by team.
+// Take returns the units to charge on a reader's report, which holds what others have admitted, by team.
 func (f *FlowReader) Take(now time.Time, source string, flow map[string]int64) []Admitted {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -62,15 +59,14 @@
 	return out
 }
 
-// Forget begins anew, for a daemon that hears what others admit by another way.
+// Forget resets the state, for a daemon that now learns in another way what others admit.
 func (f *FlowReader) Forget() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.source, f.seen, f.at, f.assumed = "", nil, time.Time{}, nil
 }
 
-// Assume returns what is to be counted because no reader has been heard for a
-// while.
+// Assume returns the units to charge because no report has arrived for a while.
 func (f *FlowReader) Assume(now time.Time) []Admitted {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -92,20 +88,19 @@
 	return out
 }
 
-// assumedFleet is of how many daemons one takes itself to be that has started anew
-// and has not read yet how many there are.
+// assumedFleet is the fleet size assumed after a restart, until the number of daemons has been read.
 const assumedFleet = 32
 
-// Fleet is what a daemon knows of the others when it admits requests.
+// Fleet describes the other daemons as far as admission depends on them.
 type Fleet struct {
-	Alive, Known int  // daemons, with itself
-	CutOff       bool // it hears none of the others
-	Counted      bool // it has read how many there are, or the whole system has just begun
-	Unheard      bool // it has started anew and has not heard yet what others admit
+	Alive, Known int  // number of daemons, including this one
+	CutOff       bool // none of the others is reached
+	Counted      bool // the number of daemons has been read, or the whole system has just started
+	Unheard      bool // restarted, and no report yet of what others admit
 }
 
-// Sharers returns how many daemons a limit is divided among: those that are not heard
-// use their parts all the same.
+// Sharers returns the number of daemons that a limit is divided among. It includes those that are not
+// reached, which use their shares all the same.
 func (f Fleet) Sharers() int {
 	if !f.Counted {
 		return max(f.Known, assumedFleet)
@@ -113,18 +108,18 @@
 	return max(f.Known, 1)
 }
 
-// Apart reports whether a daemon hears at most half of those that it knows, so that it rather than
-// they may be cut off.
+// Apart reports whether a daemon reaches at most half of those that it knows, so that it rather than they may
+// be cut off.
 func (f Fleet) Apart() bool { return f.Known > 1 && 2*f.Alive <= f.Known }
 
-// Untold reports whether a daemon uses less of a limit than it will once another has
-// told it how many there are and what they admit.
+// Untold reports whether a daemon uses less of a limit than it will once it has learned the number of daemons
+// and what they admit.
 func (f Fleet) Untold() bool { return !f.Counted || f.Unheard && f.Sharers() > fullMesh }
 
-// LimitShare returns the part of a limit over all daemons that one may use: as
-// much as it hears of them, and its own part alone while it hears nobody. Each of
-// 77 daemons that were killed together took the whole limit for its own until it
-// heard the others: a team got 15.9 million tokens in 8 s, of 13.6 million allowed.
+// LimitShare returns the fraction of a limit over all daemons that one may use: the fraction of the fleet that
+// it reaches, or its own share while it reaches no other. When each of 77 daemons that were killed together
+// took the whole limit until it reached the others, a team got 15.9 million tokens in 8 s, of 13.6 million
+// allowed.
 func (f Fleet) LimitShare() float64 {
 	known := f.Sharers()
 	alive := max(f.Alive, 1)
--- a/entry/limits.go
+++ b/entry/limits.go
@@ -16,37 +16,37 @@
 	"streambend.example/request"
 )
 
-// What an endpoint that limits itself takes is granted by one daemon to all: of few by any of them,
-// where daemons are many by one of the zones' readers, with which all have links. Divided evenly
-// instead, 2 a second among 380 would be one in three minutes for each, whoever has the callers.
+// One daemon grants the requests to an endpoint that limits itself: in a small fleet any of them, in a large
+// one a zone's reader, since all daemons have links to those. An even division would be too fine: 2 requests
+// a second among 380 daemons leave each one request in three minutes, whoever has the callers.
 
 const (
-	// askPermit is the question for a grant.
+	// askPermit is the query for a grant.
 	askPermit = "permit"
-	// permitWait is how long its answer may take: a request waits for it, and other
-	// endpoints serve as well.
+	// permitWait is the timeout of that query. It is short because a request waits for it while other endpoints
+	// could serve it.
 	permitWait = 200 * time.Millisecond
-	// sharePause is how long an even share is used after a question that was not answered.
+	// sharePause is how long an even share is used after a query failed.
 	sharePause = time.Second
 )
 
-// limitKeeper knows who grants requests to endpoints that limit themselves, and grants them to others.
+// limitKeeper finds the daemon that grants requests to an endpoint, and grants requests to other daemons.
 type limitKeeper struct {
 	d      *Daemon
-	owned  pace.Limiter // of limits that this daemon owns
-	shares pace.Limiter // of its own even shares
+	owned  pace.Limiter // of endpoints that this daemon grants for
+	shares pace.Limiter // of its even shares
 
 	mu     sync.Mutex
-	silent map[string]time.Time // daemons that have not answered, and until when they are not asked
+	silent map[string]time.Time // daemons that did not answer, and until when they are not asked
 
-	granted, refused, shared atomic.Int64 // questions; those answered by an even share among them
+	granted, refused, shared atomic.Int64 // queries; shared counts those decided by an even share
 }
 
 func newLimitKeeper(d *Daemon) limitKeeper {
 	return limitKeeper{d: d, silent: make(map[string]time.Time)}
 }
 
-// owner returns which daemon grants requests to an endpoint.
+// owner returns the daemon that grants requests to an endpoint.
 func (k *limitKeeper) owner(endpoint uint64) string {
 	var names []string
 	if r := k.d.roster(); k.d.many() && r.Known {
@@ -87,8 +87,8 @@
 	return k.shares.AllowShare(now, t.Hash(), l.PerSecond, pace.Draw(t.Hash(), k.d.Self.Name), k.d.fleet().Sharers())
 }
 
-// part is the part of each limit that this daemon grants: all of it, unless it hears so few others that
-// they may have another that grants.
+// part returns the fraction of each limit that this daemon grants: all of it, unless it reaches so few other
+// daemons that those may have chosen another owner.
 func (k *limitKeeper) part() float64 {
 	if f := k.d.fleet(); f.Apart() {
 		return f.LimitShare()
@@ -102,13 +102,13 @@
 	return now.Before(k.silent[name])
 }
 
-// permitAnswer is a grant, and what the answerer knows of the endpoint.
+// permitAnswer is a grant, and the limit of the endpoint as the answering daemon knows it.
 type permitAnswer struct {
 	Grant pace.Grant `codec:"g"`
 	Limit pace.Limit `codec:"l"`
 }
 
-// ask asks another daemon for a grant; ok is false if it does not answer.
+// ask queries another daemon for a grant; ok is false if it does not answer.
 func (k *limitKeeper) ask(ctx context.Context, owner string, t *request.Target, l pace.Limit) (g pace.Grant, ok bool) {
 	ctx, cancel := context.WithTimeout(ctx, permitWait)
 	defer cancel()
@@ -128,7 +128,7 @@
 	return a.Grant, true
 }
 
-// lost notes that a daemon that grants has not answered.
+// lost records that a daemon did not answer a query for a grant.
 func (k *limitKeeper) lost(now time.Time, owner, endpoint string, err error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -139,10 +139,10 @@
 		}
 	}
 	k.d.log.WithFields(logrus.Fields{"part": "limits", "granter": owner, "endpoint": endpoint, "error": err}).
-		Info("no answer to whether one more may be sent: an even share of the limit is used")
+		Info("no answer to a permit query: an even share of the limit is used")
 }
 
-// answer grants a request to another daemon, or not.
+// answer answers another daemon's query for a grant.
 func (k *limitKeeper) answer(from string, body []byte) ([]byte, error) {
 	var w request.Word
 	if err := conn.Unmarshal(body, &w); err != nil {
--- a/entry/sends.go
+++ b/entry/sends.go
@@ -13,38 +13,37 @@
 	"streambend.example/request"
 )
 
-// Few daemons tell each other directly of the prompts that they send to engines.
-// Where they are many, each tells its zone's reader, and the readers pass the
-// word on to each other and to their zones.
+// Daemons inform each other of the prompts that they send to engines. In a small fleet each informs all
+// others directly. In a large one each informs its zone's reader, and the readers forward that to each other
+// and to their zones.
 
 const (
-	// sendsPause is how long prompts are gathered before the others are told:
-	// short beside the time that a prompt takes to be read.
+	// sendsPause is how long prompts are batched before others are informed; it is short compared with the
+	// time that an engine takes to process a prompt.
 	sendsPause = 15 * time.Millisecond
-	// relayPause is the same for a reader that passes the word of others on. A
-	// frame costs a weak box more than what it holds: at 25 ms a day of 83 daemons
-	// took a fifth more processor time.
+	// relayPause is the same for a reader that forwards prompts of others. A frame costs a weak box more than
+	// its content: with 25 ms, 83 daemons took a fifth more processor time over a day.
 	relayPause = 60 * time.Millisecond
-	// sendsMost bounds what is gathered; the oldest are the first to be read.
+	// sendsMost bounds a batch; the oldest are dropped, since engines have read them first.
 	sendsMost = 512
 )
 
-// sentBy is the prompts that one daemon has sent.
+// sentBy holds the prompts sent by one daemon.
 type sentBy struct {
-	From  uint32         `codec:"d"` // names the daemon, which must not count them twice
+	From  uint32         `codec:"d"` // number of the sending daemon, so that it does not count its own prompts again
 	Sends []request.Sent `codec:"s"`
 }
 
-// daemonNumber names a daemon in a sentBy. Two daemons of one number only miss
-// each other's word.
+// daemonNumber returns the number of a daemon in a sentBy. Two daemons with the same number only miss each
+// other's prompts.
 func daemonNumber(name string) uint32 { return uint32(xxhash.Sum64String(name)) }
 
-// sendQueue gathers the prompts that are to be told of.
+// sendQueue batches the prompts that other daemons are to be informed of.
 type sendQueue struct {
 	mu     sync.Mutex
 	own    []request.Sent
-	zone   []sentBy // heard from daemons of this zone
-	beyond []sentBy // heard from the readers of other zones
+	zone   []sentBy // from daemons of this zone
+	beyond []sentBy // from the readers of other zones
 	wake   chan struct{}
 }
 
@@ -55,7 +54,7 @@
 	q.rouse()
 }
 
-// relay gathers what others have sent, for a reader to pass on.
+// relay queues prompts of other daemons, for a reader to forward.
 func (q *sendQueue) relay(in []sentBy, zone bool) {
 	q.mu.Lock()
 	if zone {
@@ -74,11 +73,11 @@
 	}
 }
 
-// lastOf returns as many of the newest as are gathered at the most.
+// lastOf returns the newest elements, at most sendsMost.
 func lastOf[T any](in []T) []T { return in[max(0, len(in)-sendsMost):] }
 
-// take returns what is gathered, by how it is passed on: what this zone has sent
-// goes to all, what others have sent only to this zone.
+// take returns and clears the batches by destination: what this zone has sent goes to all, what others have
+// sent only to this zone.
 func (q *sendQueue) take(self uint32) (zone, beyond []sentBy) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -90,8 +89,7 @@
 	return zone, beyond
 }
 
-// tellSends tells others of the prompts sent, a short while after the first of
-// them.
+// tellSends informs others of the prompts sent, a short while after the first of each batch.
 func (d *Daemon) tellSends(ctx context.Context) {
 	self := daemonNumber(d.Self.Name)
 	for {
@@ -115,7 +113,7 @@
 	}
 }
 
-// sendsDelay is how late daemons hear at the most of a prompt that another sends.
+// sendsDelay returns the longest delay until other daemons know of a prompt.
 func (d *Daemon) sendsDelay() time.Duration {
 	if d.many() {
 		return sendsPause + 2*relayPause
@@ -123,7 +121,7 @@
 	return sendsPause
 }
 
-// giveSends sends a frame to each of some daemons.
+// giveSends sends the same batch to each of some daemons.
 func (d *Daemon) giveSends(to []string, sends []sentBy) {
 	if len(sends) == 0 || len(to) == 0 {
 		return
@@ -134,8 +132,8 @@
 	}
 }
 
-// relaySends tells the zone's reader, or, as the reader, the zone's daemons and
-// the readers of the others.
+// relaySends sends batches to the zone's reader or, if this daemon is the reader, to the zone's daemons and
+// the readers of the other zones.
 func (d *Daemon) relaySends(zone, beyond []sentBy) {
 	r := d.roster()
 	if r.Known && r.Reader.Name != d.Self.Name {
@@ -146,7 +144,7 @@
 	d.giveSends(d.near(), append(zone, beyond...))
 }
 
-// near returns the other daemons of this one's zone.
+// near returns the other daemons of this daemon's zone.
 func (d *Daemon) near() (names []string) {
 	for _, m := range d.roster().members {
 		if m.Zone == d.Self.Zone && m.Name != d.Self.Name {
@@ -156,11 +154,11 @@
 	return names
 }
 
-// hearSends takes in the prompts that others have sent.
+// hearSends applies the prompts that others have sent.
 func (d *Daemon) hearSends(now time.Time, in conn.Delivery) {
 	var sends []sentBy
 	if err := conn.Unmarshal(in.Payload.Sends, &sends); err != nil {
-		d.log.WithField("part", "sends").Warnf("of %s: %v", in.From, err)
+		d.log.WithField("part", "sends").Warnf("invalid prompts from %s: %v", in.From, err)
 		return
 	}
 	self := daemonNumber(d.Self.Name)
@@ -177,7 +175,7 @@
 	}
 }
 
-// inZone reports whether a daemon is in this one's zone.
+// inZone reports whether a daemon is in this daemon's zone.
 func (d *Daemon) inZone(name string) bool {
 	for _, m := range d.Hub.Mesh.Members() {
 		if m.Name == name {
--- a/entry/unknown.go
+++ b/entry/unknown.go
@@ -11,11 +11,11 @@
 	"streambend.example/platform"
 )
 
-// unknownMost bounds how many names of headers are told of.
+// unknownMost bounds how many header names are logged.
 const unknownMost = 32
 
-// unknownHeaders tells once of each header of endpoints' answers that nothing here knows: it may
-// ask for something that is not done.
+// unknownHeaders logs once each header of endpoints' answers that this version does not know: it may ask for
+// something that is not implemented.
 type unknownHeaders struct {
 	log *logrus.Logger
 
@@ -23,7 +23,7 @@
 	names map[string]bool
 }
 
-// look tells of a header that is new.
+// look logs the first unknown header of an answer, unless it was logged before.
 func (u *unknownHeaders) look(status int, h http.Header) {
 	name := platform.UnknownHeader(h)
 	if name == "" {
@@ -39,5 +39,5 @@
 	}
 	u.names[name] = true
 	u.log.WithFields(logrus.Fields{"part": "endpoints", "header": name, "value": platform.Shown(h.Get(name)), "status": status}).
-		Info("a header of endpoints' answers is not known here")
+		Info("unknown header in an endpoint's answer")
 }
--- a/entry/wake.go
+++ b/entry/wake.go
@@ -10,12 +10,12 @@
 	"streambend.example/clock"
 )
 
-// leastSleep is from when on a suspension of the box is told of.
+// leastSleep is the shortest suspension of the box that is logged.
 const leastSleep = 100 * time.Millisecond
 
-// noteSleep looks whether the box has slept, and ends the requests whose time has passed meanwhile.
-// Ages are right from the next look on; a request looks for itself as it comes in, and again
-// before it goes to an endpoint.
+// noteSleep checks whether the box was suspended, and ends the requests whose deadline has passed meanwhile.
+// Ages are right from the next check on; a request does its own check as it arrives, and again before it is
+// sent to an endpoint.
 func (d *Daemon) noteSleep() {
 	total := clock.Look()
 	slept := total - d.slept
--- a/entry/wall.go
+++ b/entry/wall.go
@@ -8,30 +8,29 @@
 )
 
 const (
-	// wallSlack is by how much the box's time of day may differ from the estimate at once
-	// and be followed: a clock that is kept right moves by some ms between two looks.
+	// wallSlack is the largest difference between the box's time of day and the estimate that is adopted at
+	// once: a disciplined clock moves by a few ms between two observations.
 	wallSlack = 100 * time.Millisecond
-	// stepBelieved is how long a step of the box's time of day must last until the
-	// estimate follows it. Steps that are taken back within seconds moved requests to
-	// other usage windows: on half of the boxes by 3 s and then on all by 4 s, five and six
-	// reports of a day of eight boxes were off.
+	// stepBelieved is how long a step of the box's time of day must last until the estimate follows it. Steps
+	// that are reverted within seconds moved requests to other usage windows: with steps of 3 s on half of the
+	// boxes and then of 4 s on all, five and six usage reports of a day of eight boxes were wrong.
 	stepBelieved = time.Minute
 )
 
-// Wall estimates the true time of day by the box's steady clock, and follows the box's
-// own time of day but for its steps.
+// Wall estimates the true time of day with the box's monotonic clock; it follows the box's own time of day
+// except for its steps.
 type Wall struct {
 	mu    sync.Mutex
-	at    time.Time     // by the steady clock
+	at    time.Time     // by the monotonic clock
 	day   time.Time     // the estimate at that moment
-	step  time.Duration // by which the box's time of day differs
-	since time.Time     // when it began to; zero if it does not
+	step  time.Duration // difference of the box's time of day from the estimate
+	since time.Time     // start of that difference; zero if there is none
 }
 
-// NewWall returns an estimate that begins with the box's time of day.
+// NewWall returns an estimate that starts with the box's time of day.
 func NewWall(now, day time.Time) *Wall { return &Wall{at: now, day: day.Round(0)} }
 
-// At returns the time of day at a moment.
+// At returns the estimated time of day at a moment.
 func (w *Wall) At(now time.Time) time.Time {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -40,12 +39,11 @@
 
 func (w *Wall) estimate(now time.Time) time.Time { return w.day.Add(now.Sub(w.at)) }
 
-// Observe takes in the box's time of day, and reports a step that begins, or one that is
-// believed from now on.
+// Observe takes the box's time of day, and reports a step that begins, or one that is adopted from now on.
 func (w *Wall) Observe(now, day time.Time) (step time.Duration, begins, believed bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	day = day.Round(0) // its steady part would hide the step
+	day = day.Round(0) // its monotonic reading would hide the step
 	diff := day.Sub(w.estimate(now))
 	switch {
 	case diff.Abs() <= wallSlack:
@@ -60,7 +58,7 @@
 	return 0, false, false
 }
 
-// Tell takes in the time of day as a daemon has it that has run for longer.
+// Tell sets the time of day to that of a daemon that has run for longer.
 func (w *Wall) Tell(now, day time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/entry/words.go
+++ b/entry/words.go
@@ -11,17 +11,17 @@
 	"streambend.example/request"
 )
 
-// What endpoints' answers say of themselves goes from daemon to daemon where they are few. Where they
-// are many each tells its zone's reader, and the readers pass it on to each other and to their zones
-// some times a second: told to all by all links, a few dozen engines that rest again and again would
-// cost each daemon more than all else that it sends.
+// Daemons share what endpoints report about themselves in answers. In a small fleet each sends it to all
+// others. In a large one each sends it to its zone's reader, and the readers forward it to each other and to
+// their zones a few times a second: flooded over all links, the reports of a few dozen engines that pause
+// again and again would exceed all other traffic of a daemon.
 
-// wordSet is the newest word of each endpoint.
+// wordSet holds the newest report of each endpoint.
 type wordSet map[uint64]request.Word
 
 func (s wordSet) add(w request.Word) { s[w.Endpoint] = s[w.Endpoint].With(w) }
 
-// list returns the words of some sets, one after the other.
+// list returns the reports of some sets, one set after the other.
 func list(sets ...wordSet) (out []request.Word) {
 	for _, s := range sets {
 		for _, w := range s {
@@ -31,39 +31,37 @@
 	return out
 }
 
-// wordKeeper tells other daemons what endpoints' answers say of themselves, and takes in what they tell.
-// Each daemon hears it of the endpoint itself sooner or later, by a request that is lost or comes too
-// much.
+// wordKeeper exchanges endpoints' reports with other daemons. Without them each daemon would learn the same
+// from the endpoint itself sooner or later, by a request that is lost or exceeds a limit.
 type wordKeeper struct {
 	d *Daemon
 
 	mu     sync.Mutex
-	known  wordSet   // of endpoints that have no entry here
-	zone   wordSet   // to be told to all: heard by this daemon, or by one whose reader it is
-	beyond wordSet   // to be told to the zone whose reader this daemon is
-	told   time.Time // when others were told last
+	known  wordSet   // of endpoints that are not in this daemon's list
+	zone   wordSet   // to be sent to all: received by this daemon or by those whose reader it is
+	beyond wordSet   // to be sent to the zone whose reader this daemon is
+	told   time.Time // when reports were sent last
 }
 
 func newWordKeeper(d *Daemon) wordKeeper {
 	return wordKeeper{d: d, known: make(wordSet), zone: make(wordSet), beyond: make(wordSet)}
 }
 
-// wordsMost bounds the endpoints without an entry of which words are kept.
+// wordsMost bounds the reports that are kept of endpoints not in the list.
 const wordsMost = 1024
 
-// said takes in what an answer newly says. It is told with the next tick, as all that an endpoint
-// answers at once say the same.
+// said queues a new report of an endpoint. It is sent with the next tick, as the answers that an endpoint
+// gives at one time all report the same.
 func (k *wordKeeper) said(w request.Word) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.zone.add(w)
 }
 
-// tellPause is how long words are gathered where daemons are many: a frame costs more than what it
-// holds.
+// tellPause is how long reports are batched in a large fleet: a frame costs more than its content.
 const tellPause = 200 * time.Millisecond
 
-// tell tells others what is new.
+// tell sends the queued reports to other daemons.
 func (k *wordKeeper) tell(now time.Time) {
 	many := k.d.many()
 	k.mu.Lock()
@@ -95,14 +93,14 @@
 	}
 }
 
-// hear takes in what another daemon tells, and passes it on as a reader.
+// hear takes in another daemon's reports, and queues them to be forwarded if this daemon is a reader.
 func (k *wordKeeper) hear(now time.Time, from string, b []byte) {
 	if len(b) == 0 {
 		return
 	}
 	var words []request.Word
 	if err := conn.Unmarshal(b, &words); err != nil {
-		k.d.log.WithField("part", "endpoints").Warnf("word of %s: %v", from, err)
+		k.d.log.WithField("part", "endpoints").Warnf("invalid endpoint reports from %s: %v", from, err)
 		return
 	}
 	pass := k.d.many() && k.d.isReader()
@@ -120,7 +118,7 @@
 	}
 }
 
-// believe takes in a word and returns what is known of the endpoint then.
+// believe merges a report and returns what is then known of the endpoint.
 func (k *wordKeeper) believe(now time.Time, w request.Word) request.Word {
 	if t := k.d.Server.Works.ByHash(w.Endpoint); t != nil {
 		t.HearWord(now, w, k.d.Site().Bounds.Drain)
@@ -131,13 +129,13 @@
 	if len(k.known) >= wordsMost {
 		clear(k.known)
 	}
-	w.Rest = 0 // it may be over by the time the entry comes
+	w.Rest = 0 // the rest may be over by the time the endpoint is listed
 	k.known.add(w)
 	return k.known[w.Endpoint]
 }
 
-// found tells an endpoint whose entry has just come, or come back, what was said before, and returns it;
-// it may be nil.
+// found applies earlier reports to an endpoint that has been listed just now, for the first time or again.
+// It returns the endpoint, which may be nil.
 func (k *wordKeeper) found(t *request.Target) *request.Target {
 	if t == nil {
 		return nil
