--- a/entry/contact.go
+++ b/entry/contact.go
@@ -52,7 +52,7 @@
 // readerMissing reports whether a query to another reader has failed recently.
 func (c *contact) readerMissing(now time.Time) bool {
 	lost := c.readerLost.Load()
-	return lost > 0 && now.Sub(c.began)-time.Duration(lost) < detourFor
+	return lost > 0 && now.Sub(c.began)-time.Duration(lost) < readerLossTTL
 }
 
 // emptyLife is how long other daemons leave the store alone after a reader has found no configuration in it:
--- a/entry/limits.go
+++ b/entry/limits.go
@@ -23,11 +23,11 @@
 const (
 	// askPermit is the query for a grant.
 	askPermit = "permit"
-	// permitWait is the timeout of that query. It is short because a request waits for it while other endpoints
+	// permitTimeout is the timeout of that query. It is short because a request waits for it while other endpoints
 	// could serve it.
-	permitWait = 200 * time.Millisecond
-	// sharePause is how long an even share is used after a query failed.
-	sharePause = time.Second
+	permitTimeout = 200 * time.Millisecond
+	// ownerRetryPause is how long an even share is used after a query failed.
+	ownerRetryPause = time.Second
 )
 
 // limitKeeper finds the daemon that grants requests to an endpoint, and grants requests to other daemons.
@@ -36,14 +36,14 @@
 	owned  pace.Limiter // of endpoints that this daemon grants for
 	shares pace.Limiter // of its even shares
 
-	mu     sync.Mutex
-	silent map[string]time.Time // daemons that did not answer, and until when they are not asked
+	mu           sync.Mutex
+	unresponsive map[string]time.Time // daemons that did not answer, and until when they are not asked
 
 	granted, refused, shared atomic.Int64 // queries; shared counts those decided by an even share
 }
 
 func newLimitKeeper(d *Daemon) limitKeeper {
-	return limitKeeper{d: d, silent: make(map[string]time.Time)}
+	return limitKeeper{d: d, unresponsive: make(map[string]time.Time)}
 }
 
 // owner returns the daemon that grants requests to an endpoint.
@@ -76,8 +76,8 @@
 	owner := k.owner(t.Hash())
 	switch {
 	case owner == k.d.Self.Name:
-		return k.owned.Allow(now, t.Hash(), k.part()*l.PerSecond, owner)
-	case !k.isSilent(now, owner):
+		return k.owned.Allow(now, t.Hash(), k.grantFraction()*l.PerSecond, owner)
+	case !k.isUnresponsive(now, owner):
 		if g, ok := k.ask(ctx, owner, t, l); ok {
 			return g
 		}
@@ -87,19 +87,19 @@
 	return k.shares.AllowShare(now, t.Hash(), l.PerSecond, pace.Draw(t.Hash(), k.d.Self.Name), k.d.fleet().Sharers())
 }
 
-// part returns the fraction of each limit that this daemon grants: all of it, unless it reaches so few other
+// grantFraction returns the fraction of each limit that this daemon grants: all of it, unless it reaches so few other
 // daemons that those may have chosen another owner.
-func (k *limitKeeper) part() float64 {
+func (k *limitKeeper) grantFraction() float64 {
 	if f := k.d.fleet(); f.Apart() {
 		return f.LimitShare()
 	}
 	return 1
 }
 
-func (k *limitKeeper) isSilent(now time.Time, name string) bool {
+func (k *limitKeeper) isUnresponsive(now time.Time, name string) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return now.Before(k.silent[name])
+	return now.Before(k.unresponsive[name])
 }
 
 // permitAnswer is a grant, and the limit of the endpoint as the answering daemon knows it.
@@ -110,7 +110,7 @@
 
 // ask queries another daemon for a grant; ok is false if it does not answer.
 func (k *limitKeeper) ask(ctx context.Context, owner string, t *request.Target, l pace.Limit) (g pace.Grant, ok bool) {
-	ctx, cancel := context.WithTimeout(ctx, permitWait)
+	ctx, cancel := context.WithTimeout(ctx, permitTimeout)
 	defer cancel()
 	b, err := k.d.Hub.Ask(ctx, owner, askPermit, conn.Marshal(request.Word{Endpoint: t.Hash(), Limit: l}))
 	var a permitAnswer
@@ -118,7 +118,7 @@
 		err = conn.Unmarshal(b, &a)
 	}
 	if err != nil {
-		k.lost(clock.Now(), owner, t.ID, err)
+		k.markUnresponsive(clock.Now(), owner, t.ID, err)
 		return g, false
 	}
 	if a.Limit.Over(l) {
@@ -128,14 +128,14 @@
 	return a.Grant, true
 }
 
-// lost records that a daemon did not answer a query for a grant.
-func (k *limitKeeper) lost(now time.Time, owner, endpoint string, err error) {
+// markUnresponsive records that a daemon did not answer a query for a grant.
+func (k *limitKeeper) markUnresponsive(now time.Time, owner, endpoint string, err error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.silent[owner] = now.Add(sharePause)
-	for name, until := range k.silent {
+	k.unresponsive[owner] = now.Add(ownerRetryPause)
+	for name, until := range k.unresponsive {
 		if now.After(until) {
-			delete(k.silent, name)
+			delete(k.unresponsive, name)
 		}
 	}
 	k.d.log.WithFields(logrus.Fields{"part": "limits", "granter": owner, "endpoint": endpoint, "error": err}).
@@ -149,9 +149,9 @@
 		return nil, err
 	}
 	now := clock.Now()
-	a := permitAnswer{Limit: k.d.words.believe(now, w).Limit}
+	a := permitAnswer{Limit: k.d.words.merge(now, w).Limit}
 	if a.Limit.Named() {
-		a.Grant = k.owned.Allow(now, w.Endpoint, k.part()*a.Limit.PerSecond, from)
+		a.Grant = k.owned.Allow(now, w.Endpoint, k.grantFraction()*a.Limit.PerSecond, from)
 	} else {
 		a.Grant.OK = true
 	}
--- a/entry/peers.go
+++ b/entry/peers.go
@@ -35,17 +35,17 @@
 	// the store itself instead of relying on others. Data from a reader is no older than a feed's wait and
 	// one query interval, and a weak box may send its query late.
 	peerAge = 2 * time.Second
-	// peerLimit is the timeout of a query.
-	peerLimit = 700 * time.Millisecond
-	// slowAnswer is the duration from which an answer is logged as late.
-	slowAnswer = peerLimit / 2
+	// peerTimeout is the timeout of a query.
+	peerTimeout = 700 * time.Millisecond
+	// lateAnswer is the duration from which an answer is logged as late.
+	lateAnswer = peerTimeout / 2
 )
 
 // askFresh is the query between daemons for the content of the store.
 const askFresh = "fresh"
 
-// freshQuestion describes what the asker already has.
-type freshQuestion struct {
+// freshQuery describes what the asker already has.
+type freshQuery struct {
 	Catalog int64    `codec:"c"`           // version of its catalog
 	Runners int64    `codec:"r"`           // the store's version of its endpoints
 	Fetch   bool     `codec:"f,omitempty"` // requests the next piece of a newer catalog
@@ -55,8 +55,8 @@
 	Started bool        `codec:"l,omitempty"` // has just started; requests the time of day and the teams' bucket levels
 }
 
-// freshAnswer brings the asker up to the answering daemon's state.
-type freshAnswer struct {
+// freshReply brings the asker up to the answering daemon's state.
+type freshReply struct {
 	Known   bool          `codec:"k"`
 	Empty   bool          `codec:"z,omitempty"` // its reads of the store succeed, but there is no configuration yet
 	Failing bool          `codec:"f,omitempty"` // its reads of the store fail
@@ -119,7 +119,7 @@
 			continue
 		}
 		name := readers[asked%len(readers)]
-		d.run(func() { d.askPeer(ctx, name) })
+		d.run(func() { d.syncWithPeer(ctx, name) })
 		asked++
 		pause *= 2
 	}
@@ -137,8 +137,8 @@
 	if readers := d.roster().Asked; len(readers) > 0 {
 		at := d.readerTurn.Next(len(readers))
 		d.run(func() {
-			w := d.askPeer(ctx, readers[at])
-			d.hearReader(at, readers[at], w)
+			w := d.syncWithPeer(ctx, readers[at])
+			d.recordReader(at, readers[at], w)
 			if w != ReaderWell && w != ReaderEmpty {
 				d.askWitnesses(ctx, readers[at])
 			}
@@ -154,7 +154,7 @@
 	// differs between daemons, so that those that are behind do not query the same one at once.
 	d.asked++
 	m := others[(d.asked+int(daemonNumber(d.Self.Name)%uint32(len(others))))%len(others)]
-	d.run(func() { d.askPeer(ctx, m.Name) })
+	d.run(func() { d.syncWithPeer(ctx, m.Name) })
 }
 
 // askWitnesses queries at once, but for one daemon that was just queried, those that can confirm whether the
@@ -162,15 +162,15 @@
 func (d *Daemon) askWitnesses(ctx context.Context, but string) {
 	for _, name := range d.roster().Witness {
 		if name != but {
-			d.run(func() { d.askPeer(ctx, name) })
+			d.run(func() { d.syncWithPeer(ctx, name) })
 		}
 	}
 }
 
-// hearReader records the outcome of a query to a reader. A reader whose reads fail proves nothing about
+// recordReader records the outcome of a query to a reader. A reader whose reads fail proves nothing about
 // expired entries, since the readers themselves may be cut off; once all fail, this daemon reads the store
 // and finds out. A reader whose reads succeed ends an outage that this daemon has recorded.
-func (d *Daemon) hearReader(at int, name string, w ReaderWord) {
+func (d *Daemon) recordReader(at int, name string, w ReaderWord) {
 	if d.readerTurn.Heard(at, w) {
 		d.log.WithFields(logrus.Fields{
 			"part": "peers", "reader": name, "word": w.String(), "failed_in_a_row": d.readerTurn.Failed(),
@@ -181,12 +181,12 @@
 	}
 }
 
-// askPeer queries one daemon and returns the state of its reads. If that daemon has a newer catalog, askPeer
+// syncWithPeer queries one daemon and returns the state of its reads. If that daemon has a newer catalog, syncWithPeer
 // fetches it piece by piece, from one daemon at a time, as a link has room for one catalog.
-func (d *Daemon) askPeer(ctx context.Context, name string) ReaderWord {
+func (d *Daemon) syncWithPeer(ctx context.Context, name string) ReaderWord {
 	fetch := false
 	for {
-		w, more := d.hearPeer(ctx, name, fetch)
+		w, more := d.queryPeer(ctx, name, fetch)
 		d.outage.Hear(name, w)
 		if !more || ctx.Err() != nil {
 			return w.Reader
@@ -201,12 +201,12 @@
 	}
 }
 
-// hearPeer sends one query to a daemon and applies its answer. It returns the outcome, and whether the daemon
+// queryPeer sends one query to a daemon and applies its answer. It returns the outcome, and whether the daemon
 // has more of a newer catalog.
-func (d *Daemon) hearPeer(ctx context.Context, name string, fetch bool) (w Word, more bool) {
-	ctx, cancel := context.WithTimeout(ctx, peerLimit)
+func (d *Daemon) queryPeer(ctx context.Context, name string, fetch bool) (w Word, more bool) {
+	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
-	q := freshQuestion{Runners: d.runners.current(), Fetch: fetch, Got: d.coming.progress()}
+	q := freshQuery{Runners: d.runners.current(), Fetch: fetch, Got: d.coming.progress()}
 	q.Started = !d.Site().First && !d.contact.levelled.Load()
 	if c := d.catalog.get(); c != nil {
 		q.Catalog = c.Version
@@ -222,19 +222,19 @@
 	if err != nil {
 		return w, false // the next round queries it again, or another daemon
 	}
-	var a freshAnswer
+	var a freshReply
 	if err := conn.Unmarshal(b, &a); err != nil {
 		d.log.WithField("part", "peers").Warnf("invalid answer from %s: %v", name, err)
 		return w, false
 	}
 	if a.Known {
-		more = d.takeFresh(sent, name, a)
+		more = d.applyFresh(sent, name, a)
 	}
 	if _, known := d.Hub.Mesh.Counts(); a.Daemons > 0 && known >= a.Daemons {
 		d.contact.counted.Store(true) // every member that the other daemon counted is known here
 	}
 	if q.Started && (len(a.Levels) > 0 || q.Tally == nil) && !d.contact.levelled.Swap(true) {
-		d.begin(sent, a)
+		d.adoptState(sent, a)
 	}
 	if a.Source != "" {
 		d.heard(clock.Now())
@@ -257,12 +257,12 @@
 	return w, more
 }
 
-// settledAfter is how long after its start a daemon reports the time of day to others: by then it has
+// reportDayAfter is how long after its start a daemon reports the time of day to others: by then it has
 // received it from one that has run for longer, or there is none.
-const settledAfter = 10 * time.Second
+const reportDayAfter = 10 * time.Second
 
-// begin adopts bucket levels and the time of day from a daemon that has run for longer.
-func (d *Daemon) begin(sent time.Time, a freshAnswer) {
+// adoptState adopts bucket levels and the time of day from a daemon that has run for longer.
+func (d *Daemon) adoptState(sent time.Time, a freshReply) {
 	now := clock.Now()
 	d.quotas.Adopt(now, d.teams(), a.Levels)
 	if a.Day != 0 {
@@ -273,7 +273,7 @@
 // logAnswer logs an answer of another daemon that failed or came late.
 func (d *Daemon) logAnswer(name string, took time.Duration, size int, err error) {
 	d.meters.asked.Update(took.Milliseconds())
-	if err == nil && took < slowAnswer {
+	if err == nil && took < lateAnswer {
 		return
 	}
 	d.log.WithFields(logrus.Fields{
@@ -281,8 +281,8 @@
 	}).Info("another daemon's answer is late or missing")
 }
 
-// takeFresh applies an answer, and reports whether more of its catalog is to come.
-func (d *Daemon) takeFresh(sent time.Time, name string, a freshAnswer) (more bool) {
+// applyFresh applies an answer, and reports whether more of its catalog is to come.
+func (d *Daemon) applyFresh(sent time.Time, name string, a freshReply) (more bool) {
 	d.rollouts.hearAll(sent, a.At, a.Orders)
 	if a.Piece == nil {
 		c := d.catalog.get()
@@ -316,11 +316,11 @@
 
 // answerFresh answers another daemon's query.
 func (d *Daemon) answerFresh(body []byte) ([]byte, error) {
-	var q freshQuestion
+	var q freshQuery
 	if err := conn.Unmarshal(body, &q); err != nil {
 		return nil, err
 	}
-	var a freshAnswer
+	var a freshReply
 	if q.Tally != nil {
 		d.takeTallies(clock.Now(), q.Tally.Daemon, []conn.Tally{*q.Tally})
 		a.Source, a.Flow = instanceOf(d.Self), d.tallies.Flow(q.Tally.Daemon)
@@ -328,7 +328,7 @@
 			a.Levels = d.quotas.Levels(clock.Now(), d.teams(), d.share())
 		}
 	}
-	if now := clock.Now(); q.Started && now.Sub(d.began) > settledAfter {
+	if now := clock.Now(); q.Started && now.Sub(d.began) > reportDayAfter {
 		a.Day = d.wall.At(now).UnixNano()
 	}
 	if d.fleet().Counted {
--- a/entry/quota.go
+++ b/entry/quota.go
@@ -28,21 +28,21 @@
 // NewQuotas returns full buckets; first reports whether the whole system has just started.
 func NewQuotas(first bool) *Quotas { return &Quotas{first: first, buckets: make(map[string]*bucket)} }
 
-// restartShare is the fraction of its share of a bucket that a process starts with if it does not know what
+// restartFraction is the fraction of its share of a bucket that a process starts with if it does not know what
 // was admitted before: daemons that crash repeatedly must not grant the whole burst each time.
-const restartShare = 0.5
+const restartFraction = 0.5
 
-// debtSeconds bounds how far a bucket falls below zero, in seconds of its rate: what all daemons admitted
+// maxDebtSeconds bounds how far a bucket falls below zero, in seconds of its rate: what all daemons admitted
 // at the same time is paid back, but not indefinitely. At eight times a limit and a delay of 0.8 s the debt
 // is 4.6 s.
-const debtSeconds = 6
+const maxDebtSeconds = 6
 
-// leastWait is the shortest wait reported to a caller over its limit. If a bucket lacked a fraction of a
+// minRetryAfter is the shortest wait reported to a caller over its limit. If a bucket lacked a fraction of a
 // unit, the wait was zero and the answer had no Retry-After.
-const leastWait = time.Millisecond
+const minRetryAfter = time.Millisecond
 
-// shortShare is the fill level, as a fraction of the burst, below which refusals are likely soon.
-const shortShare = 0.5
+// nearLimitFraction is the fill level, as a fraction of the burst, below which refusals are likely soon.
+const nearLimitFraction = 0.5
 
 // bucket returns a team's bucket, refilled up to now; share is the fraction of the limit that this daemon
 // may use. The caller holds the lock.
@@ -51,7 +51,7 @@
 	if b == nil {
 		b = &bucket{level: t.Burst, at: now, rate: t.Rate, burst: t.Burst}
 		if !q.first {
-			b.level *= restartShare * share
+			b.level *= restartFraction * share
 		}
 		q.buckets[t.Name] = b
 	}
@@ -80,7 +80,7 @@
 	if b.level < need {
 		// At the rate of all daemons: the caller may retry at any of them, and a share that is small now
 		// usually grows soon.
-		return max(time.Duration((need-b.level)/max(b.rate, 1)*float64(time.Second)), leastWait), false
+		return max(time.Duration((need-b.level)/max(b.rate, 1)*float64(time.Second)), minRetryAfter), false
 	}
 	b.level -= units
 	return 0, true
@@ -100,7 +100,7 @@
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	for _, b := range q.buckets {
-		if b.rate > 0 && b.level+now.Sub(b.at).Seconds()*b.rate < shortShare*b.burst {
+		if b.rate > 0 && b.level+now.Sub(b.at).Seconds()*b.rate < nearLimitFraction*b.burst {
 			return true
 		}
 	}
@@ -140,5 +140,5 @@
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	b := q.bucket(now, t, share)
-	b.level = min(max(b.level-units, -debtSeconds*b.rate), b.burst)
+	b.level = min(max(b.level-units, -maxDebtSeconds*b.rate), b.burst)
 }
--- a/entry/readers.go
+++ b/entry/readers.go
@@ -99,9 +99,9 @@
 	return r
 }
 
-// returnAfter is how many successful answers of another zone's reader it takes until the own zone's reader
+// returnAfterAnswers is how many successful answers of another zone's reader it takes until the own zone's reader
 // is queried again.
-const returnAfter = 10
+const returnAfterAnswers = 10
 
 // ReaderWord is the outcome of a query to a reader.
 type ReaderWord int
@@ -154,7 +154,7 @@
 		return true
 	}
 	t.fails = 0
-	if t.good++; t.good >= returnAfter {
+	if t.good++; t.good >= returnAfterAnswers {
 		t.at, t.good = 0, 0
 	}
 	return t.at != at
--- a/entry/tally.go
+++ b/entry/tally.go
@@ -15,19 +15,19 @@
 // some more in case a report is delayed.
 const windowsKept = 5
 
-// heard is the newest tally received of another daemon, when it arrived, and whether that daemon sent it
+// remoteTally is the newest tally received of another daemon, when it arrived, and whether that daemon sent it
 // itself rather than another that forwarded it.
-type heard struct {
+type remoteTally struct {
 	tally  conn.Tally
 	at     time.Time
 	direct bool
-	change change
+	change changeIndex
 	term   int // listening period in which it arrived
 }
 
-// turnDirect marks a tally as received from its own daemon and drops its change history: a neighbour that
+// markDirect marks a tally as received from its own daemon and drops its change history: a neighbour that
 // asks for direct tallies alone has not been sent it so far.
-func (h *heard) turnDirect() { h.direct, h.change = true, change{} }
+func (h *remoteTally) markDirect() { h.direct, h.change = true, changeIndex{} }
 
 // Scope selects whose tallies are sent to a neighbour.
 type Scope int
@@ -44,16 +44,16 @@
 // Tallies holds the counts of all daemons, as far as this one has received them. Neighbours forward them
 // to each other: whoever has a newer tally of any daemon sends it.
 type Tallies struct {
-	mu     sync.Mutex
-	edit   uint64 // number of the last change to anything held here
-	self   conn.Tally
-	own    change // of self
-	others map[daemonStart]heard
-	term   int                               // number of the current listening period
-	since  int64                             // start of the current listening period, Unix milliseconds
-	pause  bool                              // a reader's sums count what others admit, instead of tallies
-	flow   map[string]map[string]int64       // units that each daemon is known to have admitted, by daemon and team
-	sent   map[string]map[daemonStart]uint64 // sequence numbers sent so far, by neighbour
+	mu               sync.Mutex
+	edit             uint64 // number of the last change to anything held here
+	self             conn.Tally
+	own              changeIndex // of self
+	others           map[daemonStart]remoteTally
+	term             int                               // number of the current listening period
+	since            int64                             // start of the current listening period, Unix milliseconds
+	countedElsewhere bool                              // a reader's sums count what others admit, instead of tallies
+	flow             map[string]map[string]int64       // units that each daemon is known to have admitted, by daemon and team
+	sent             map[string]map[daemonStart]uint64 // sequence numbers sent so far, by neighbour
 }
 
 // daemonStart identifies one run of a daemon's process.
@@ -67,7 +67,7 @@
 	return &Tallies{
 		since:  self.Start,
 		self:   conn.Tally{Daemon: self.Name, Start: self.Start, Admit: make(map[string]int64), Back: make(map[string]int64), Trials: make(map[string]rollout.Tally), Windows: make(map[int64]map[string]int)},
-		others: make(map[daemonStart]heard), flow: make(map[string]map[string]int64), sent: make(map[string]map[daemonStart]uint64),
+		others: make(map[daemonStart]remoteTally), flow: make(map[string]map[string]int64), sent: make(map[string]map[daemonStart]uint64),
 	}
 }
 
@@ -77,18 +77,18 @@
 	defer t.mu.Unlock()
 	if units < 0 {
 		t.self.Back[team] -= units
-		t.note(count{team, givenBack})
+		t.recordChange(counter{team, unitsReturned})
 		return
 	}
 	t.self.Admit[team] += units
-	t.note(count{team, admitted})
+	t.recordChange(counter{team, unitsAdmitted})
 }
 
-// note records a change of one of this daemon's counts; the caller holds the lock.
-func (t *Tallies) note(c count) {
+// recordChange records a change of one of this daemon's counts; the caller holds the lock.
+func (t *Tallies) recordChange(c counter) {
 	t.self.Seq++
 	t.edit++
-	t.own.note(t.edit, c)
+	t.own.record(t.edit, c)
 }
 
 // Begin counts a request that began to run in a usage window.
@@ -107,7 +107,7 @@
 		}
 	}
 	w[team]++
-	t.note(count{team, window})
+	t.recordChange(counter{team, window})
 }
 
 // SetRunning records how many requests are at the endpoints of each service.
@@ -116,13 +116,13 @@
 	defer t.mu.Unlock()
 	if !maps.Equal(t.self.Running, running) {
 		t.self.Running = running
-		t.note(count{})
+		t.recordChange(counter{})
 	}
 }
 
-// runningLife is how long another daemon's count of running requests is used: long enough to miss some
+// runningTTL is how long another daemon's count of running requests is used: long enough to miss some
 // exchanges, short enough that requests of a dead daemon are not waited for.
-const runningLife = 3 * time.Second
+const runningTTL = 3 * time.Second
 
 // Running returns how many requests all daemons have at the endpoints of a service.
 func (t *Tallies) Running(now time.Time, service string) int {
@@ -130,7 +130,7 @@
 	defer t.mu.Unlock()
 	n := t.self.Running[service]
 	for _, h := range t.others {
-		if now.Sub(h.at) < runningLife {
+		if now.Sub(h.at) < runningTTL {
 			n += h.tally.Running[service]
 		}
 	}
@@ -193,8 +193,8 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	whole = true
-	if t.pause {
-		t.pause, t.since = false, now.UnixMilli()
+	if t.countedElsewhere {
+		t.countedElsewhere, t.since = false, now.UnixMilli()
 		t.term++
 	}
 	for _, x := range in {
@@ -210,7 +210,7 @@
 			old.at, old.term = now, t.term // the daemon is alive, though its counts have not changed
 			if from == x.Daemon && !old.direct {
 				t.edit++
-				old.turnDirect()
+				old.markDirect()
 				old.change.compare(t.edit, conn.Tally{}, old.tally)
 			}
 			t.others[k] = old
@@ -223,19 +223,19 @@
 		if known && old.term == t.term || x.Start >= t.since { // otherwise this tally is the baseline
 			for _, a := range admittedSince(old.tally, x) {
 				out = append(out, a)
-				t.flows(x.Daemon)[a.Team] += a.Units
+				t.admittedBy(x.Daemon)[a.Team] += a.Units
 			}
 		}
 		t.edit++
-		next := heard{at: now, direct: from == x.Daemon, change: old.change, term: t.term}
+		next := remoteTally{at: now, direct: from == x.Daemon, change: old.change, term: t.term}
 		if next.direct && !old.direct {
-			next.turnDirect()
+			next.markDirect()
 			old.tally = conn.Tally{}
 		}
 		next.change.compare(t.edit, old.tally, x)
 		next.tally = x
 		if x.Part {
-			next.tally = merged(old.tally, x)
+			next.tally = applyPartial(old.tally, x)
 		}
 		t.others[k] = next
 	}
@@ -247,11 +247,11 @@
 func (t *Tallies) CountedElsewhere() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.pause = true
+	t.countedElsewhere = true
 }
 
-// flows returns the units that a daemon is known to have admitted, by team; the caller holds the lock.
-func (t *Tallies) flows(daemon string) map[string]int64 {
+// admittedBy returns the units that a daemon is known to have admitted, by team; the caller holds the lock.
+func (t *Tallies) admittedBy(daemon string) map[string]int64 {
 	f := t.flow[daemon]
 	if f == nil {
 		f = make(map[string]int64)
@@ -287,8 +287,8 @@
 	return out
 }
 
-// tallyLife is how long the tally of a dead daemon is kept.
-const tallyLife = time.Minute
+// tallyTTL is how long the tally of a dead daemon is kept.
+const tallyTTL = time.Minute
 
 // Tick drops old tallies of daemons that are not alive. The tally of an idle daemon that is alive must stay:
 // otherwise everything that it ever admitted would be counted again with its next tally.
@@ -300,7 +300,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for k, h := range t.others {
-		if now.Sub(h.at) > tallyLife && !living[k] {
+		if now.Sub(h.at) > tallyTTL && !living[k] {
 			delete(t.others, k)
 			for _, sent := range t.sent {
 				delete(sent, k)
--- a/entry/tallynews.go
+++ b/entry/tallynews.go
@@ -9,62 +9,62 @@
 	"streambend.example/rollout"
 )
 
-// count identifies one count of a tally: the requests of a team begun in a usage window, or one of the
+// counter identifies one counter of a tally: the requests of a team begun in a usage window, or one of the
 // kinds below. Counts only grow, so an equal value means no change, whatever path it arrived by. Without a
 // team it stands for the running requests, which are always sent in full.
-type count struct {
+type counter struct {
 	team   string
 	window int64
 }
 
 // Kinds of counts that belong to no usage window.
 const (
-	admitted  = 0  // units admitted under the team's limit
-	givenBack = -1 // admitted units that were returned
-	tried     = -2 // answers of a version; team holds the key of the count
+	unitsAdmitted = 0  // units admitted under the team's limit
+	unitsReturned = -1 // admitted units that were returned
+	trialAnswers  = -2 // answers of a version; team holds the key of the count
 )
 
-// change records when a tally and each of its counts changed last, as the number of that change among all
+// changeIndex records when a tally and each of its counts changed last, as the number of that changeIndex among all
 // changes to the tallies held here.
-type change struct {
+type changeIndex struct {
 	last   uint64
-	counts map[count]uint64
+	counts map[counter]uint64
 }
 
-func (c *change) note(edit uint64, x count) {
+func (c *changeIndex) record(edit uint64, x counter) {
 	if c.counts == nil {
-		c.counts = make(map[count]uint64)
+		c.counts = make(map[counter]uint64)
 	}
 	c.last = edit
 	c.counts[x] = edit
 }
 
 // forget drops the counts of a usage window.
-func (c *change) forget(window int64) {
-	maps.DeleteFunc(c.counts, func(x count, _ uint64) bool { return x.window == window })
+func (c *changeIndex) forget(window int64) {
+	maps.DeleteFunc(c.counts, func(x counter, _ uint64) bool { return x.window == window })
 }
 
 // compare records which counts differ between two tallies of a daemon.
-func (c *change) compare(edit uint64, old, next conn.Tally) {
+func (c *changeIndex) compare(edit uint64, old, next conn.Tally) {
 	for team, n := range next.Admit {
 		if old.Admit[team] != n {
-			c.note(edit, count{team, admitted})
+			c.record(edit, counter{team, unitsAdmitted})
 		}
 	}
 	for team, n := range next.Back {
 		if old.Back[team] != n {
-			c.note(edit, count{team, givenBack})
+			c.record(edit, counter{team, unitsReturned})
 		}
 	}
 	for key, n := range next.Trials {
 		if old.Trials[key] != n {
-			c.note(edit, count{key, tried})
+			c.record(edit, counter{key, trialAnswers})
 		}
 	}
 	for window, teams := range next.Windows {
 		for team, n := range teams {
 			if old.Windows[window][team] != n {
-				c.note(edit, count{team, window})
+				c.record(edit, counter{team, window})
 			}
 		}
 	}
@@ -87,7 +87,7 @@
 }
 
 // after returns a partial tally of the counts that changed after an edit.
-func (c *change) after(edit uint64, x conn.Tally) conn.Tally {
+func (c *changeIndex) after(edit uint64, x conn.Tally) conn.Tally {
 	out := conn.Tally{
 		Daemon: x.Daemon, Start: x.Start, Seq: x.Seq, Part: true, Running: x.Running,
 		Admit: make(map[string]int64), Back: make(map[string]int64), Windows: make(map[int64]map[string]int),
@@ -96,11 +96,11 @@
 	for k, at := range c.counts {
 		switch {
 		case at <= edit || k.team == "":
-		case k.window == admitted:
+		case k.window == unitsAdmitted:
 			out.Admit[k.team] = x.Admit[k.team]
-		case k.window == givenBack:
+		case k.window == unitsReturned:
 			out.Back[k.team] = x.Back[k.team]
-		case k.window == tried:
+		case k.window == trialAnswers:
 			if n, ok := x.Trials[k.team]; ok {
 				out.Trials[k.team] = n
 			}
@@ -129,22 +129,22 @@
 	return out
 }
 
-// merged applies a newer partial tally to a tally.
-func merged(old, part conn.Tally) conn.Tally {
+// applyPartial applies a newer partial tally to a tally.
+func applyPartial(old, part conn.Tally) conn.Tally {
 	old.Seq, old.Running = part.Seq, part.Running
-	old.Admit, old.Back, old.Trials = added(old.Admit, part.Admit), added(old.Back, part.Back), added(old.Trials, part.Trials)
+	old.Admit, old.Back, old.Trials = copyInto(old.Admit, part.Admit), copyInto(old.Back, part.Back), copyInto(old.Trials, part.Trials)
 	if old.Windows == nil {
 		old.Windows = make(map[int64]map[string]int)
 	}
 	for window, teams := range part.Windows {
-		old.Windows[window] = added(old.Windows[window], teams)
+		old.Windows[window] = copyInto(old.Windows[window], teams)
 	}
 	maps.DeleteFunc(old.Windows, func(w int64, _ map[string]int) bool { return expired(part.Windows, w) })
 	return old
 }
 
-// added copies the entries of one map to another, in place unless that is nil.
-func added[N int | int64 | rollout.Tally](to, from map[string]N) map[string]N {
+// copyInto copies the entries of one map to another, in place unless that is nil.
+func copyInto[N int | int64 | rollout.Tally](to, from map[string]N) map[string]N {
 	if to == nil {
 		return maps.Clone(from)
 	}
@@ -157,7 +157,7 @@
 func (t *Tallies) Since(edit uint64, of Scope) (last uint64, out []conn.Tally) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	offer := func(x conn.Tally, c change) {
+	offer := func(x conn.Tally, c changeIndex) {
 		switch {
 		case edit == 0:
 			out = append(out, copyTally(x))
--- a/entry/tallyshare.go
+++ b/entry/tallyshare.go
@@ -28,8 +28,8 @@
 	// askTallies is the same query from a reader of the previous software version: query and answer hold full
 	// tallies. It keeps limits enforced while a fleet is upgraded.
 	askTallies = "tallies"
-	// detourFor is how long after a failed query another reader counts as unreachable: four exchanges.
-	detourFor = 4 * gossipPeriod
+	// readerLossTTL is how long after a failed query another reader counts as unreachable: four exchanges.
+	readerLossTTL = 4 * gossipPeriod
 )
 
 // many reports whether the fleet is too large for each daemon to send its tally to all others.
@@ -81,15 +81,15 @@
 	}
 }
 
-// tallyQuestion asks a reader for the changes since an edit.
-type tallyQuestion struct {
+// tallyQuery asks a reader for the changes since an edit.
+type tallyQuery struct {
 	Source string `codec:"s"` // the reader's process that Edit refers to
 	Edit   uint64 `codec:"e"` // last change that the asker has received
 	Scope  Scope  `codec:"o,omitempty"`
 }
 
-// tallyAnswer holds the changed tallies.
-type tallyAnswer struct {
+// tallyReply holds the changed tallies.
+type tallyReply struct {
 	Source  string       `codec:"s"`
 	Edit    uint64       `codec:"e"`
 	Tallies []conn.Tally `codec:"t,omitempty"`
@@ -105,11 +105,11 @@
 // narrower scope leaves tallies out. The zero value is ready to use.
 type tallyFeeds struct {
 	mu sync.Mutex
-	at map[tallyFeed]tallyQuestion
+	at map[tallyFeed]tallyQuery
 }
 
 // next returns the next query of a feed.
-func (t *tallyFeeds) next(f tallyFeed) tallyQuestion {
+func (t *tallyFeeds) next(f tallyFeed) tallyQuery {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	q := t.at[f]
@@ -117,18 +117,18 @@
 	return q
 }
 
-// told records the position that an answer of a feed reached.
-func (t *tallyFeeds) told(f tallyFeed, q tallyQuestion) {
+// advance records the position that an answer of a feed reached.
+func (t *tallyFeeds) advance(f tallyFeed, q tallyQuery) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.at == nil {
-		t.at = make(map[tallyFeed]tallyQuestion)
+		t.at = make(map[tallyFeed]tallyQuery)
 	}
 	t.at[f] = q
 }
 
-// begun reports whether any feed has been answered.
-func (t *tallyFeeds) begun() bool {
+// started reports whether any feed has been answered.
+func (t *tallyFeeds) started() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return len(t.at) > 0
@@ -138,7 +138,7 @@
 // some reader is unreachable, and for one reader after a start: the previous reader of this zone may have
 // held tallies of daemons that no longer send their own.
 func (d *Daemon) tallyScope(now time.Time, place int) Scope {
-	if d.contact.readerMissing(now) || place == 0 && !d.feeds.begun() {
+	if d.contact.readerMissing(now) || place == 0 && !d.feeds.started() {
 		return ScopeAll
 	}
 	return ScopeDirect
@@ -146,7 +146,7 @@
 
 // pullTallies queries the reader of another zone for what changed since its last answer.
 func (d *Daemon) pullTallies(name string, of Scope) {
-	ctx, cancel := context.WithTimeout(d.ctx, peerLimit)
+	ctx, cancel := context.WithTimeout(d.ctx, peerTimeout)
 	defer cancel()
 	feed := tallyFeed{name, of}
 	b, err := d.Hub.Ask(ctx, name, askCounts, conn.Marshal(d.feeds.next(feed)))
@@ -154,25 +154,25 @@
 		d.contact.loseReader(clock.Now())
 		return
 	}
-	var a tallyAnswer
+	var a tallyReply
 	if err := conn.Unmarshal(b, &a); err != nil {
 		d.log.WithField("part", "tallies").Warnf("invalid tallies from %s: %v", name, err)
 		return
 	}
-	next := tallyQuestion{Source: a.Source, Edit: a.Edit}
+	next := tallyQuery{Source: a.Source, Edit: a.Edit}
 	if !d.takeTallies(clock.Now(), "", a.Tallies) {
-		next = tallyQuestion{} // a full answer is needed
+		next = tallyQuery{} // a full answer is needed
 	}
-	d.feeds.told(feed, next)
+	d.feeds.advance(feed, next)
 }
 
 // answerTallies answers another reader's query.
 func (d *Daemon) answerTallies(body []byte) ([]byte, error) {
-	var q tallyQuestion
+	var q tallyQuery
 	if err := conn.Unmarshal(body, &q); err != nil {
 		return nil, err
 	}
-	a := tallyAnswer{Source: instanceOf(d.Self)}
+	a := tallyReply{Source: instanceOf(d.Self)}
 	if q.Source != a.Source {
 		q.Edit = 0
 	}
--- a/entry/tallytrial.go
+++ b/entry/tallytrial.go
@@ -30,7 +30,7 @@
 	defer t.mu.Unlock()
 	key := trialKey(order, route, endpoint)
 	t.self.Trials[key] = t.self.Trials[key].Add(answer)
-	t.note(count{key, tried})
+	t.recordChange(counter{key, trialAnswers})
 }
 
 // Trials returns the answers of both versions since an order, over all daemons.
@@ -80,7 +80,7 @@
 	for _, h := range t.others {
 		maps.DeleteFunc(h.tally.Trials, dropped)
 	}
-	gone := func(x count, _ uint64) bool { return x.window == tried && dropped(x.team, rollout.Tally{}) }
+	gone := func(x counter, _ uint64) bool { return x.window == trialAnswers && dropped(x.team, rollout.Tally{}) }
 	maps.DeleteFunc(t.own.counts, gone)
 	for _, h := range t.others {
 		maps.DeleteFunc(h.change.counts, gone)
--- a/entry/words.go
+++ b/entry/words.go
@@ -16,13 +16,13 @@
 // their zones a few times a second: flooded over all links, the reports of a few dozen engines that pause
 // again and again would exceed all other traffic of a daemon.
 
-// wordSet holds the newest report of each endpoint.
-type wordSet map[uint64]request.Word
+// reportSet holds the newest report of each endpoint.
+type reportSet map[uint64]request.Word
 
-func (s wordSet) add(w request.Word) { s[w.Endpoint] = s[w.Endpoint].With(w) }
+func (s reportSet) add(w request.Word) { s[w.Endpoint] = s[w.Endpoint].With(w) }
 
 // list returns the reports of some sets, one set after the other.
-func list(sets ...wordSet) (out []request.Word) {
+func list(sets ...reportSet) (out []request.Word) {
 	for _, s := range sets {
 		for _, w := range s {
 			out = append(out, w)
@@ -36,19 +36,19 @@
 type wordKeeper struct {
 	d *Daemon
 
-	mu     sync.Mutex
-	known  wordSet   // of endpoints that are not in this daemon's list
-	zone   wordSet   // to be sent to all: received by this daemon or by those whose reader it is
-	beyond wordSet   // to be sent to the zone whose reader this daemon is
-	told   time.Time // when reports were sent last
+	mu       sync.Mutex
+	known    reportSet // of endpoints that are not in this daemon's list
+	zone     reportSet // to be sent to all: received by this daemon or by those whose reader it is
+	beyond   reportSet // to be sent to the zone whose reader this daemon is
+	lastSent time.Time // when reports were sent last
 }
 
 func newWordKeeper(d *Daemon) wordKeeper {
-	return wordKeeper{d: d, known: make(wordSet), zone: make(wordSet), beyond: make(wordSet)}
+	return wordKeeper{d: d, known: make(reportSet), zone: make(reportSet), beyond: make(reportSet)}
 }
 
-// wordsMost bounds the reports that are kept of endpoints not in the list.
-const wordsMost = 1024
+// maxUnlistedReports bounds the reports that are kept of endpoints not in the list.
+const maxUnlistedReports = 1024
 
 // said queues a new report of an endpoint. It is sent with the next tick, as the answers that an endpoint
 // gives at one time all report the same.
@@ -58,18 +58,18 @@
 	k.zone.add(w)
 }
 
-// tellPause is how long reports are batched in a large fleet: a frame costs more than its content.
-const tellPause = 200 * time.Millisecond
+// reportBatchDelay is how long reports are batched in a large fleet: a frame costs more than its content.
+const reportBatchDelay = 200 * time.Millisecond
 
 // tell sends the queued reports to other daemons.
 func (k *wordKeeper) tell(now time.Time) {
 	many := k.d.many()
 	k.mu.Lock()
-	if many && now.Sub(k.told) < tellPause {
+	if many && now.Sub(k.lastSent) < reportBatchDelay {
 		k.mu.Unlock()
 		return
 	}
-	k.told = now
+	k.lastSent = now
 	zone, both := list(k.zone), list(k.zone, k.beyond)
 	clear(k.zone)
 	clear(k.beyond)
@@ -78,16 +78,16 @@
 	switch {
 	case len(both) == 0:
 	case !many:
-		k.give(k.d.Hub.Mesh.NeighbourNames(), zone)
+		k.sendReports(k.d.Hub.Mesh.NeighbourNames(), zone)
 	case !k.d.isReader():
-		k.give([]string{r.Reader.Name}, zone)
+		k.sendReports([]string{r.Reader.Name}, zone)
 	default:
-		k.give(r.Beyond, zone)
-		k.give(k.d.near(), both)
+		k.sendReports(r.Beyond, zone)
+		k.sendReports(k.d.near(), both)
 	}
 }
 
-func (k *wordKeeper) give(to []string, words []request.Word) {
+func (k *wordKeeper) sendReports(to []string, words []request.Word) {
 	if len(words) > 0 {
 		k.d.giveAll(to, conn.Payload{Words: conn.Marshal(words)})
 	}
@@ -106,7 +106,7 @@
 	pass := k.d.many() && k.d.isReader()
 	inZone := pass && k.d.inZone(from)
 	for _, w := range words {
-		k.believe(now, w)
+		k.merge(now, w)
 		k.mu.Lock()
 		switch {
 		case inZone:
@@ -118,15 +118,15 @@
 	}
 }
 
-// believe merges a report and returns what is then known of the endpoint.
-func (k *wordKeeper) believe(now time.Time, w request.Word) request.Word {
+// merge merges a report and returns what is then known of the endpoint.
+func (k *wordKeeper) merge(now time.Time, w request.Word) request.Word {
 	if t := k.d.Server.Works.ByHash(w.Endpoint); t != nil {
 		t.HearWord(now, w, k.d.Site().Bounds.Drain)
 		return t.Word(now)
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if len(k.known) >= wordsMost {
+	if len(k.known) >= maxUnlistedReports {
 		clear(k.known)
 	}
 	w.Rest = 0 // the rest may be over by the time the endpoint is listed
