--- a/entry/codec.go
+++ b/entry/codec.go
@@ -31,7 +31,7 @@
 
 // Read implements request.Codec.
 func (c *codec) Read(status int, h http.Header) request.AnswerHead {
-	c.unknown.look(status, h)
+	c.unknown.logNew(status, h)
 	a := platform.ReadHead(status, h)
 	return request.AnswerHead{
 		ID: a.ID, NotRun: a.NotRun, Signed: a.Signed, Own: a.Own, Said: a.Said,
--- a/entry/contact.go
+++ b/entry/contact.go
@@ -13,15 +13,15 @@
 
 // contact records how far a daemon is in touch with the others.
 type contact struct {
-	began      time.Time                 // start of the daemon
-	told       chan struct{}             // closed on the first report of what another daemon admits
-	heardAt    atomic.Int64              // time of the last such report, nanoseconds after began; 0 for never
-	levelled   atomic.Bool               // bucket levels were received
-	counted    atomic.Bool               // the number of daemons was read from the store, or received from a daemon that has it
-	cutOff     atomic.Bool               // no other daemon is reached
-	readerLost atomic.Int64              // last failed query to another reader, nanoseconds after began; 0 for never
-	emptyAt    atomic.Int64              // last answer of a reader without a configuration, nanoseconds after began; 0 for never
-	aloneSince atomic.Pointer[time.Time] // since when no other daemon is alive; nil while one is
+	began       time.Time                 // start of the daemon
+	told        chan struct{}             // closed on the first report of what another daemon admits
+	lastReport  atomic.Int64              // time of the last such report, nanoseconds after began; 0 for never
+	levelsKnown atomic.Bool               // bucket levels were received
+	counted     atomic.Bool               // the number of daemons was read from the store, or received from a daemon that has it
+	cutOff      atomic.Bool               // no other daemon is reached
+	readerLost  atomic.Int64              // last failed query to another reader, nanoseconds after began; 0 for never
+	emptyAt     atomic.Int64              // last answer of a reader without a configuration, nanoseconds after began; 0 for never
+	aloneSince  atomic.Pointer[time.Time] // since when no other daemon is alive; nil while one is
 }
 
 func newContact(now time.Time) contact { return contact{began: now, told: make(chan struct{})} }
@@ -29,12 +29,12 @@
 // since returns a moment as nanoseconds after began, at least 1 as 0 stands for never.
 func (c *contact) since(now time.Time) int64 { return max(1, int64(now.Sub(c.began))) }
 
-// unheard reports whether no other daemon has reported yet what it admits.
-func (c *contact) unheard() bool { return c.heardAt.Load() == 0 }
+// noReport reports whether no other daemon has reported yet what it admits.
+func (c *contact) noReport() bool { return c.lastReport.Load() == 0 }
 
-// hear records a report of what another daemon admits; first is true for the first one.
-func (c *contact) hear(now time.Time) (first bool) {
-	first = c.heardAt.Swap(c.since(now)) == 0
+// recordReport records a report of what another daemon admits; first is true for the first one.
+func (c *contact) recordReport(now time.Time) (first bool) {
+	first = c.lastReport.Swap(c.since(now)) == 0
 	if first {
 		close(c.told)
 	}
@@ -43,11 +43,11 @@
 
 // silent returns the time since the last report of another daemon.
 func (c *contact) silent(now time.Time) time.Duration {
-	return now.Sub(c.began) - time.Duration(c.heardAt.Load())
+	return now.Sub(c.began) - time.Duration(c.lastReport.Load())
 }
 
-// loseReader records a failed query to another reader.
-func (c *contact) loseReader(now time.Time) { c.readerLost.Store(c.since(now)) }
+// recordReaderFailure records a failed query to another reader.
+func (c *contact) recordReaderFailure(now time.Time) { c.readerLost.Store(c.since(now)) }
 
 // readerMissing reports whether a query to another reader has failed recently.
 func (c *contact) readerMissing(now time.Time) bool {
@@ -59,8 +59,8 @@
 // some query intervals.
 const emptyLife = time.Second
 
-// hearEmpty records that a reader waits for the first configuration.
-func (c *contact) hearEmpty(now time.Time) { c.emptyAt.Store(c.since(now)) }
+// recordEmpty records that a reader waits for the first configuration.
+func (c *contact) recordEmpty(now time.Time) { c.emptyAt.Store(c.since(now)) }
 
 // readerWaits reports whether a reader recently waited for the first configuration.
 func (c *contact) readerWaits(now time.Time) bool {
@@ -84,7 +84,7 @@
 // fleet returns what this daemon knows of the others.
 func (d *Daemon) fleet() Fleet {
 	first := d.Site().First
-	f := Fleet{CutOff: d.contact.cutOff.Load(), Counted: first || d.contact.counted.Load(), Unheard: !first && d.contact.unheard()}
+	f := Fleet{CutOff: d.contact.cutOff.Load(), Counted: first || d.contact.counted.Load(), Unheard: !first && d.contact.noReport()}
 	f.Alive, f.Known = d.Hub.Mesh.Counts()
 	return f
 }
@@ -92,22 +92,22 @@
 // judgeCutOff updates whether this daemon, in a large fleet, reaches no other.
 func (d *Daemon) judgeCutOff(now time.Time) {
 	silent := d.contact.silent(now)
-	cut := d.many() && silent > aloneAfter
+	cut := d.many() && silent > cutOffAfter
 	if d.contact.cutOff.Swap(cut) != cut {
 		d.log.WithFields(logrus.Fields{"part": "peers", "cut_off": cut, "silent_ms": silent.Milliseconds()}).
 			Info("contact with other daemons lost or regained: the share of each limit in use changes")
 	}
 }
 
-// heard records a report of what other daemons admit.
-func (d *Daemon) heard(now time.Time) {
-	if d.many() && d.contact.unheard() {
+// recordAdmissionReport records a report of what other daemons admit.
+func (d *Daemon) recordAdmissionReport(now time.Time) {
+	if d.many() && d.contact.noReport() {
 		// Creates the buckets while the share is still this daemon's own: otherwise each of many daemons
 		// that start together would begin with half of every limit. In a small fleet each does, and they
 		// learn of each other's admissions at once.
 		d.quotas.Levels(now, d.teams(), d.share())
 	}
-	if d.contact.hear(now) {
+	if d.contact.recordReport(now) {
 		d.log.WithFields(logrus.Fields{"part": "peers", "after_ms": now.Sub(d.began).Milliseconds(), "members": len(d.Hub.Mesh.Members())}).
 			Info("first report of what other daemons admit: limits are used in full from now on")
 	}
--- a/entry/crashes.go
+++ b/entry/crashes.go
@@ -20,14 +20,14 @@
 
 func (d *Daemon) holdShare() request.HoldShare {
 	return request.HoldShare{
-		Weigh: d.weighCrash, Pass: d.passCrash, Table: d.table, Day: func(now time.Time) time.Time { return d.wall.At(now) },
+		Weigh: d.sendCrash, Pass: d.forwardCrash, Table: d.table, Day: func(now time.Time) time.Time { return d.wall.At(now) },
 		Tell: func(p conn.Payload) { d.Hub.Tell(p) },
 		Near: func(p conn.Payload) { d.giveAll(d.Hub.Mesh.NeighbourNames(), p) },
 	}
 }
 
-// weighCrash sends the crash of an endpoint to the daemons that evaluate it.
-func (d *Daemon) weighCrash(p conn.Payload) {
+// sendCrash sends the crash of an endpoint to the daemons that evaluate it.
+func (d *Daemon) sendCrash(p conn.Payload) {
 	r := d.roster()
 	switch {
 	case !d.many():
@@ -39,8 +39,8 @@
 	}
 }
 
-// passCrash forwards crash reports from a daemon of this reader's zone.
-func (d *Daemon) passCrash(from string, p conn.Payload) {
+// forwardCrash forwards crash reports from a daemon of this reader's zone.
+func (d *Daemon) forwardCrash(from string, p conn.Payload) {
 	if d.many() && d.isReader() && d.inZone(from) {
 		d.giveAll(d.roster().Beyond, conn.Payload{Crashes: p.Crashes})
 	}
--- a/entry/flow.go
+++ b/entry/flow.go
@@ -8,17 +8,17 @@
 )
 
 const (
-	// flowPatience is how long after a reader's last report the others are assumed to go on admitting at the
+	// assumeAfter is how long after a reader's last report the others are assumed to go on admitting at the
 	// same rate: two query intervals and the latency of an answer.
-	flowPatience = time.Second
-	// flowAssumed bounds that assumption; after it a daemon that reaches no other uses only its own share of
+	assumeAfter = time.Second
+	// maxAssumed bounds that assumption; after it a daemon that reaches no other uses only its own share of
 	// each limit.
-	flowAssumed = 4 * time.Second
-	// flowWeight is the weight of the newest report in the estimated rate.
-	flowWeight = 0.5
-	// aloneAfter is how long a daemon of a large fleet receives no report until it considers itself cut off.
+	maxAssumed = 4 * time.Second
+	// rateWeight is the weight of the newest report in the estimated rate.
+	rateWeight = 0.5
+	// cutOffAfter is how long a daemon of a large fleet receives no report until it considers itself cut off.
 	// The overlay detects only lost neighbours, and after 3.5 s; a report comes every 450 ms.
-	aloneAfter = 1500 * time.Millisecond
+	cutOffAfter = 1500 * time.Millisecond
 )
 
 // FlowReader tracks what other daemons admit from the reports of one reader at a time. Two reports of the
@@ -45,10 +45,10 @@
 	}
 	var out []Admitted
 	for team, n := range flow {
-		add := f.rate[team] * min(gap, flowAssumed).Seconds()
+		add := f.rate[team] * min(gap, maxAssumed).Seconds()
 		if known {
 			add = float64(n - f.seen[team])
-			f.rate[team] += flowWeight * (add/max(gap.Seconds(), 0.01) - f.rate[team])
+			f.rate[team] += rateWeight * (add/max(gap.Seconds(), 0.01) - f.rate[team])
 		}
 		if units := int64(add - f.assumed[team]); units != 0 && !first {
 			out = append(out, Admitted{team, units})
@@ -71,7 +71,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	gap := now.Sub(f.at)
-	if f.at.IsZero() || gap < flowPatience {
+	if f.at.IsZero() || gap < assumeAfter {
 		return nil
 	}
 	if f.assumed == nil {
@@ -79,7 +79,7 @@
 	}
 	var out []Admitted
 	for team, rate := range f.rate {
-		units := int64(rate*min(gap, flowAssumed).Seconds() - f.assumed[team])
+		units := int64(rate*min(gap, maxAssumed).Seconds() - f.assumed[team])
 		if units > 0 {
 			f.assumed[team] += float64(units)
 			out = append(out, Admitted{team, units})
@@ -88,8 +88,8 @@
 	return out
 }
 
-// assumedFleet is the fleet size assumed after a restart, until the number of daemons has been read.
-const assumedFleet = 32
+// assumedFleetSize is the fleet size assumed after a restart, until the number of daemons has been read.
+const assumedFleetSize = 32
 
 // Fleet describes the other daemons as far as admission depends on them.
 type Fleet struct {
@@ -103,7 +103,7 @@
 // reached, which use their shares all the same.
 func (f Fleet) Sharers() int {
 	if !f.Counted {
-		return max(f.Known, assumedFleet)
+		return max(f.Known, assumedFleetSize)
 	}
 	return max(f.Known, 1)
 }
--- a/entry/outage.go
+++ b/entry/outage.go
@@ -14,19 +14,19 @@
 )
 
 const (
-	// wordLife is how long the outcome of a query to another daemon counts: three query intervals.
-	wordLife = 3 * manyPause
-	// nearShare is the fraction of a bound from which on something is late: the rest is time for a call to
+	// reportTTL is how long the outcome of a query to another daemon counts: three query intervals.
+	reportTTL = 3 * manyPause
+	// lateFraction is the fraction of a bound from which on something is late: the rest is time for a call to
 	// the store that is answered at once.
-	nearShare = 0.85
+	lateFraction = 0.85
 	// witnesses is how many daemons are queried at once when one reports a failure: in a fleet of 380 with 12
 	// zones a reader then answers 210 queries a second.
 	witnesses = 3
-	// wordKept is how long the outcome for a daemon that is no longer queried is kept.
-	wordKept = 10 * wordLife
-	// servedLately is the age of a list up to which the store is taken to serve its holder: the longest wait
+	// reportRetention is how long the outcome for a daemon that is no longer queried is kept.
+	reportRetention = 10 * reportTTL
+	// recentlyServedAge is the age of a list up to which the store is taken to serve its holder: the longest wait
 	// of a query for changes, and a third more for its latency.
-	servedLately = 2 * time.Second
+	recentlyServedAge = 2 * time.Second
 )
 
 // Outage collects what other daemons report of the store. A daemon's own calls also fail while its link is
@@ -61,7 +61,7 @@
 	}
 	o.words[name] = w
 	for n, old := range o.words {
-		if w.Asked.Sub(old.Asked) > wordKept {
+		if w.Asked.Sub(old.Asked) > reportRetention {
 			delete(o.words, n)
 		}
 	}
@@ -84,7 +84,7 @@
 	defer o.mu.Unlock()
 	asked, failing := 0, false
 	for _, w := range o.words {
-		if now.Sub(w.Asked) > wordLife {
+		if now.Sub(w.Asked) > reportTTL {
 			continue
 		}
 		if now.Sub(of(w)) <= bound {
@@ -117,7 +117,7 @@
 
 // outageFor reports whether the store fails for all, so that no data younger than this daemon's can be had.
 func (d *Daemon) outageFor(now time.Time, held *Freshness, of Horizon, bound time.Duration) bool {
-	if d.only(held) {
+	if d.isOnlyDaemon(held) {
 		return d.feedsDown.Load() > 0
 	}
 	return d.outage.Certain(now, min(witnesses, len(d.others())), of, bound)
@@ -131,10 +131,10 @@
 	return age <= bound || d.outageFor(now, &d.catalog.fresh, OfCatalog, bound)
 }
 
-// only reports whether there is no other daemon: there never was one, except for some that stopped as planned,
+// isOnlyDaemon reports whether there is no other daemon: there never was one, except for some that stopped as planned,
 // or the store has refreshed what is held after all others were gone, so that it is not this daemon's link
 // that keeps them from answering.
-func (d *Daemon) only(held *Freshness) bool {
+func (d *Daemon) isOnlyDaemon(held *Freshness) bool {
 	if _, known := d.Hub.Mesh.Counts(); known < 2 {
 		return d.Site().First || d.contact.counted.Load()
 	}
@@ -146,7 +146,7 @@
 // served recently disproves it, this daemon first of all.
 func (d *Daemon) noteOutage(now time.Time) {
 	age, _ := d.runners.fresh.Age(now)
-	if d.feedsDown.Load() > 0 && age > servedLately && d.outageFor(now, &d.runners.fresh, OfList, servedLately) {
+	if d.feedsDown.Load() > 0 && age > recentlyServedAge && d.outageFor(now, &d.runners.fresh, OfList, recentlyServedAge) {
 		d.runners.storeFailed(now)
 	}
 }
@@ -166,18 +166,18 @@
 }
 
 // late reports whether data is so close to its bound that a daemon tries every source for a younger copy.
-func late(age, bound time.Duration) bool { return age > lateAt(bound) }
+func late(age, bound time.Duration) bool { return age > lateAge(bound) }
 
-// lateAt returns the age from which on data with a bound is late.
-func lateAt(bound time.Duration) time.Duration {
-	return min(peerAge, time.Duration(nearShare*float64(bound)))
+// lateAge returns the age from which on data with a bound is late.
+func lateAge(bound time.Duration) time.Duration {
+	return min(peerAge, time.Duration(lateFraction*float64(bound)))
 }
 
 // FeedWait returns how long the store may hold a query for changes to data of some age: at most most, and not
 // beyond the moment from which on the data is late. A query still waiting then would be answered after the
 // bound.
 func FeedWait(age, bound, most time.Duration) time.Duration {
-	return max(min(most, lateAt(bound)-age), 0)
+	return max(min(most, lateAge(bound)-age), 0)
 }
 
 // behind reports whether the catalog or the list of endpoints is late.
--- a/entry/peers.go
+++ b/entry/peers.go
@@ -98,7 +98,7 @@
 	switch {
 	case !d.many():
 		return peerPause
-	case now.Sub(d.began) < youngFor && (!d.Site().First || d.catalog.get() == nil) || d.quotas.Short(now):
+	case now.Sub(d.began) < youngFor && (!d.Site().First || d.catalog.get() == nil) || d.quotas.NearLimit(now):
 		return quickPause
 	}
 	return manyPause
@@ -113,7 +113,7 @@
 		return
 	}
 	asked := 0
-	for pause := startPause; ctx.Err() == nil && clock.Since(d.began) < manyPause && !d.contact.levelled.Load(); sleep(ctx, pause) {
+	for pause := startPause; ctx.Err() == nil && clock.Since(d.began) < manyPause && !d.contact.levelsKnown.Load(); sleep(ctx, pause) {
 		readers := d.roster().Asked
 		if d.catalog.get() == nil || !d.runners.known() || len(readers) == 0 {
 			continue
@@ -207,7 +207,7 @@
 	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
 	q := freshQuery{Runners: d.runners.current(), Fetch: fetch, Got: d.coming.progress()}
-	q.Started = !d.Site().First && !d.contact.levelled.Load()
+	q.Started = !d.Site().First && !d.contact.levelsKnown.Load()
 	if c := d.catalog.get(); c != nil {
 		q.Catalog = c.Version
 	}
@@ -233,11 +233,11 @@
 	if _, known := d.Hub.Mesh.Counts(); a.Daemons > 0 && known >= a.Daemons {
 		d.contact.counted.Store(true) // every member that the other daemon counted is known here
 	}
-	if q.Started && (len(a.Levels) > 0 || q.Tally == nil) && !d.contact.levelled.Swap(true) {
+	if q.Started && (len(a.Levels) > 0 || q.Tally == nil) && !d.contact.levelsKnown.Swap(true) {
 		d.adoptState(sent, a)
 	}
 	if a.Source != "" {
-		d.heard(clock.Now())
+		d.recordAdmissionReport(clock.Now())
 		if !d.isReader() {
 			d.tallies.CountedElsewhere()
 		}
@@ -249,7 +249,7 @@
 	}
 	if a.Empty {
 		w.Reader = ReaderEmpty
-		d.contact.hearEmpty(clock.Now())
+		d.contact.recordEmpty(clock.Now())
 	}
 	if a.Failing {
 		w.Reader = ReaderFailing
@@ -323,7 +323,7 @@
 	var a freshReply
 	if q.Tally != nil {
 		d.takeTallies(clock.Now(), q.Tally.Daemon, []conn.Tally{*q.Tally})
-		a.Source, a.Flow = instanceOf(d.Self), d.tallies.Flow(q.Tally.Daemon)
+		a.Source, a.Flow = instanceOf(d.Self), d.tallies.AdmittedExcept(q.Tally.Daemon)
 		if q.Started {
 			a.Levels = d.quotas.Levels(clock.Now(), d.teams(), d.share())
 		}
--- a/entry/quota.go
+++ b/entry/quota.go
@@ -95,8 +95,8 @@
 	}
 }
 
-// Short reports whether some team is near its limit or over it.
-func (q *Quotas) Short(now time.Time) bool {
+// NearLimit reports whether some team is near its limit or over it.
+func (q *Quotas) NearLimit(now time.Time) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	for _, b := range q.buckets {
--- a/entry/sends.go
+++ b/entry/sends.go
@@ -18,12 +18,12 @@
 // and to their zones.
 
 const (
-	// sendsPause is how long prompts are batched before others are informed; it is short compared with the
+	// sendsBatchDelay is how long prompts are batched before others are informed; it is short compared with the
 	// time that an engine takes to process a prompt.
-	sendsPause = 15 * time.Millisecond
-	// relayPause is the same for a reader that forwards prompts of others. A frame costs a weak box more than
+	sendsBatchDelay = 15 * time.Millisecond
+	// relayBatchDelay is the same for a reader that forwards prompts of others. A frame costs a weak box more than
 	// its content: with 25 ms, 83 daemons took a fifth more processor time over a day.
-	relayPause = 60 * time.Millisecond
+	relayBatchDelay = 60 * time.Millisecond
 	// sendsMost bounds a batch; the oldest are dropped, since engines have read them first.
 	sendsMost = 512
 )
@@ -49,32 +49,32 @@
 
 func (q *sendQueue) add(s request.Sent) {
 	q.mu.Lock()
-	q.own = lastOf(append(q.own, s))
+	q.own = newestSends(append(q.own, s))
 	q.mu.Unlock()
-	q.rouse()
+	q.signal()
 }
 
 // relay queues prompts of other daemons, for a reader to forward.
 func (q *sendQueue) relay(in []sentBy, zone bool) {
 	q.mu.Lock()
 	if zone {
-		q.zone = lastOf(append(q.zone, in...))
+		q.zone = newestSends(append(q.zone, in...))
 	} else {
-		q.beyond = lastOf(append(q.beyond, in...))
+		q.beyond = newestSends(append(q.beyond, in...))
 	}
 	q.mu.Unlock()
-	q.rouse()
+	q.signal()
 }
 
-func (q *sendQueue) rouse() {
+func (q *sendQueue) signal() {
 	select {
 	case q.wake <- struct{}{}:
 	default:
 	}
 }
 
-// lastOf returns the newest elements, at most sendsMost.
-func lastOf[T any](in []T) []T { return in[max(0, len(in)-sendsMost):] }
+// newestSends returns the newest elements, at most sendsMost.
+func newestSends[T any](in []T) []T { return in[max(0, len(in)-sendsMost):] }
 
 // take returns and clears the batches by destination: what this zone has sent goes to all, what others have
 // sent only to this zone.
@@ -100,15 +100,15 @@
 		}
 		many := d.many()
 		if many && d.isReader() {
-			sleep(ctx, relayPause)
+			sleep(ctx, relayBatchDelay)
 		} else {
-			sleep(ctx, sendsPause)
+			sleep(ctx, sendsBatchDelay)
 		}
 		zone, beyond := d.sends.take(self)
 		if many {
 			d.relaySends(zone, beyond)
 		} else {
-			d.giveSends(d.Hub.Mesh.NeighbourNames(), zone)
+			d.sendBatch(d.Hub.Mesh.NeighbourNames(), zone)
 		}
 	}
 }
@@ -116,13 +116,13 @@
 // sendsDelay returns the longest delay until other daemons know of a prompt.
 func (d *Daemon) sendsDelay() time.Duration {
 	if d.many() {
-		return sendsPause + 2*relayPause
+		return sendsBatchDelay + 2*relayBatchDelay
 	}
-	return sendsPause
+	return sendsBatchDelay
 }
 
-// giveSends sends the same batch to each of some daemons.
-func (d *Daemon) giveSends(to []string, sends []sentBy) {
+// sendBatch sends the same batch to each of some daemons.
+func (d *Daemon) sendBatch(to []string, sends []sentBy) {
 	if len(sends) == 0 || len(to) == 0 {
 		return
 	}
@@ -137,15 +137,15 @@
 func (d *Daemon) relaySends(zone, beyond []sentBy) {
 	r := d.roster()
 	if r.Known && r.Reader.Name != d.Self.Name {
-		d.giveSends([]string{r.Reader.Name}, zone)
+		d.sendBatch([]string{r.Reader.Name}, zone)
 		return
 	}
-	d.giveSends(r.Beyond, zone)
-	d.giveSends(d.near(), append(zone, beyond...))
+	d.sendBatch(r.Beyond, zone)
+	d.sendBatch(d.zonePeers(), append(zone, beyond...))
 }
 
-// near returns the other daemons of this daemon's zone.
-func (d *Daemon) near() (names []string) {
+// zonePeers returns the other daemons of this daemon's zone.
+func (d *Daemon) zonePeers() (names []string) {
 	for _, m := range d.roster().members {
 		if m.Zone == d.Self.Zone && m.Name != d.Self.Name {
 			names = append(names, m.Name)
--- a/entry/tally.go
+++ b/entry/tally.go
@@ -267,9 +267,9 @@
 	return copyTally(t.self)
 }
 
-// Flow returns the units, by team, that this daemon has admitted, and that all others but one are known to
+// AdmittedExcept returns the units, by team, that this daemon has admitted, and that all others but one are known to
 // have admitted since this process started.
-func (t *Tallies) Flow(except string) map[string]int64 {
+func (t *Tallies) AdmittedExcept(except string) map[string]int64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	out := maps.Clone(t.self.Admit)
--- a/entry/tallyshare.go
+++ b/entry/tallyshare.go
@@ -55,7 +55,7 @@
 
 // gossipPause returns the time until tallies are exchanged again.
 func (d *Daemon) gossipPause(now time.Time) time.Duration {
-	if d.many() && d.quotas.Short(now) {
+	if d.many() && d.quotas.NearLimit(now) {
 		return quickGossip
 	}
 	return gossipPeriod
@@ -151,7 +151,7 @@
 	feed := tallyFeed{name, of}
 	b, err := d.Hub.Ask(ctx, name, askCounts, conn.Marshal(d.feeds.next(feed)))
 	if err != nil {
-		d.contact.loseReader(clock.Now())
+		d.contact.recordReaderFailure(clock.Now())
 		return
 	}
 	var a tallyReply
@@ -194,7 +194,7 @@
 // takeTallies merges tallies and charges the teams for new admissions. It reports whether all could be
 // merged.
 func (d *Daemon) takeTallies(now time.Time, from string, in []conn.Tally) (whole bool) {
-	d.heard(now)
+	d.recordAdmissionReport(now)
 	admitted, whole := d.tallies.Hear(now, from, in)
 	d.chargeAll(now, admitted)
 	return whole
--- a/entry/unknown.go
+++ b/entry/unknown.go
@@ -11,8 +11,8 @@
 	"streambend.example/platform"
 )
 
-// unknownMost bounds how many header names are logged.
-const unknownMost = 32
+// maxUnknownHeaders bounds how many header names are logged.
+const maxUnknownHeaders = 32
 
 // unknownHeaders logs once each header of endpoints' answers that this version does not know: it may ask for
 // something that is not implemented.
@@ -23,15 +23,15 @@
 	names map[string]bool
 }
 
-// look logs the first unknown header of an answer, unless it was logged before.
-func (u *unknownHeaders) look(status int, h http.Header) {
+// logNew logs the first unknown header of an answer, unless it was logged before.
+func (u *unknownHeaders) logNew(status int, h http.Header) {
 	name := platform.UnknownHeader(h)
 	if name == "" {
 		return
 	}
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if u.names[name] || len(u.names) >= unknownMost {
+	if u.names[name] || len(u.names) >= maxUnknownHeaders {
 		return
 	}
 	if u.names == nil {
--- a/entry/wake.go
+++ b/entry/wake.go
@@ -10,8 +10,8 @@
 	"streambend.example/clock"
 )
 
-// leastSleep is the shortest suspension of the box that is logged.
-const leastSleep = 100 * time.Millisecond
+// minSuspension is the shortest suspension of the box that is logged.
+const minSuspension = 100 * time.Millisecond
 
 // noteSleep checks whether the box was suspended, and ends the requests whose deadline has passed meanwhile.
 // Ages are right from the next check on; a request does its own check as it arrives, and again before it is
@@ -20,7 +20,7 @@
 	total := clock.Look()
 	slept := total - d.slept
 	d.slept = total
-	if slept < leastSleep {
+	if slept < minSuspension {
 		return
 	}
 	now := clock.Now()
--- a/entry/wall.go
+++ b/entry/wall.go
@@ -8,13 +8,13 @@
 )
 
 const (
-	// wallSlack is the largest difference between the box's time of day and the estimate that is adopted at
+	// maxAdjustment is the largest difference between the box's time of day and the estimate that is adopted at
 	// once: a disciplined clock moves by a few ms between two observations.
-	wallSlack = 100 * time.Millisecond
-	// stepBelieved is how long a step of the box's time of day must last until the estimate follows it. Steps
+	maxAdjustment = 100 * time.Millisecond
+	// minStepDuration is how long a step of the box's time of day must last until the estimate follows it. Steps
 	// that are reverted within seconds moved requests to other usage windows: with steps of 3 s on half of the
 	// boxes and then of 4 s on all, five and six usage reports of a day of eight boxes were wrong.
-	stepBelieved = time.Minute
+	minStepDuration = time.Minute
 )
 
 // Wall estimates the true time of day with the box's monotonic clock; it follows the box's own time of day
@@ -46,12 +46,12 @@
 	day = day.Round(0) // its monotonic reading would hide the step
 	diff := day.Sub(w.estimate(now))
 	switch {
-	case diff.Abs() <= wallSlack:
+	case diff.Abs() <= maxAdjustment:
 		w.at, w.day, w.since = now, day, time.Time{}
-	case w.since.IsZero() || (diff-w.step).Abs() > wallSlack:
+	case w.since.IsZero() || (diff-w.step).Abs() > maxAdjustment:
 		w.step, w.since = diff, now
 		return diff, true, false
-	case now.Sub(w.since) >= stepBelieved:
+	case now.Sub(w.since) >= minStepDuration:
 		w.at, w.day, w.since = now, day, time.Time{}
 		return diff, false, true
 	}
--- a/entry/words.go
+++ b/entry/words.go
@@ -83,7 +83,7 @@
 		k.sendReports([]string{r.Reader.Name}, zone)
 	default:
 		k.sendReports(r.Beyond, zone)
-		k.sendReports(k.d.near(), both)
+		k.sendReports(k.d.zonePeers(), both)
 	}
 }
 
