--- /dev/null
+++ b/entry/permits.go
@@ -0,0 +1,159 @@
+// SPDX-License-Identifier: MIT
+
+package entry
+
+import (
+	"context"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"github.com/sirupsen/logrus"
+
+	"streambend.example/clock"
+	"streambend.example/conn"
+	"streambend.example/pace"
+	"streambend.example/request"
+)
+
+// One daemon grants the requests to an endpoint that limits itself: in a small fleet any of them, in a large
+// one a zone's reader, since all daemons have links to those. An even division would be too fine: 2 requests
+// a second among 380 daemons leave each one request in three minutes, whoever has the callers.
+
+const (
+	// askPermit is the query for a grant.
+	askPermit = "permit"
+	// permitTimeout is the timeout of that query. It is short because a request waits for it while other endpoints
+	// could serve it.
+	permitTimeout = 200 * time.Millisecond
+	// ownerRetryPause is how long an even share is used after a query failed.
+	ownerRetryPause = time.Second
+)
+
+// limitKeeper finds the daemon that grants requests to an endpoint, and grants requests to other daemons.
+type limitKeeper struct {
+	d      *Daemon
+	owned  pace.Limiter // of endpoints that this daemon grants for
+	shares pace.Limiter // of its even shares
+
+	mu           sync.Mutex
+	unresponsive map[string]time.Time // daemons that did not answer, and until when they are not asked
+
+	granted, refused, shared atomic.Int64 // queries; shared counts those decided by an even share
+}
+
+func newLimitKeeper(d *Daemon) limitKeeper {
+	return limitKeeper{d: d, unresponsive: make(map[string]time.Time)}
+}
+
+// owner returns the daemon that grants requests to an endpoint.
+func (k *limitKeeper) owner(endpoint uint64) string {
+	var names []string
+	if r := k.d.roster(); k.d.many() && r.Known {
+		names = append(names, r.Reader.Name)
+		names = append(names, r.Beyond...)
+	} else {
+		for _, m := range k.d.Hub.Mesh.Members() {
+			names = append(names, m.Name)
+		}
+	}
+	return pace.Owner(endpoint, names)
+}
+
+// Take implements request.Permits.
+func (k *limitKeeper) Take(ctx context.Context, t *request.Target) pace.Grant {
+	g := k.take(ctx, t)
+	if g.OK {
+		k.granted.Add(1)
+	} else {
+		k.refused.Add(1)
+	}
+	return g
+}
+
+func (k *limitKeeper) take(ctx context.Context, t *request.Target) pace.Grant {
+	l, now := t.Limit(), clock.Now()
+	owner := k.owner(t.Hash())
+	switch {
+	case owner == k.d.Self.Name:
+		return k.owned.Allow(now, t.Hash(), k.grantFraction()*l.PerSecond, owner)
+	case !k.isUnresponsive(now, owner):
+		if g, ok := k.ask(ctx, owner, t, l); ok {
+			return g
+		}
+		now = clock.Now()
+	}
+	k.shared.Add(1)
+	return k.shares.AllowShare(now, t.Hash(), l.PerSecond, pace.Draw(t.Hash(), k.d.Self.Name), k.d.fleet().Sharers())
+}
+
+// grantFraction returns the fraction of each limit that this daemon grants: all of it, unless it reaches so few other
+// daemons that those may have chosen another owner.
+func (k *limitKeeper) grantFraction() float64 {
+	if f := k.d.fleet(); f.Apart() {
+		return f.LimitShare()
+	}
+	return 1
+}
+
+func (k *limitKeeper) isUnresponsive(now time.Time, name string) bool {
+	k.mu.Lock()
+	defer k.mu.Unlock()
+	return now.Before(k.unresponsive[name])
+}
+
+// permitAnswer is a grant, and the limit of the endpoint as the answering daemon knows it.
+type permitAnswer struct {
+	Grant pace.Grant `codec:"g"`
+	Limit pace.Limit `codec:"l"`
+}
+
+// ask queries another daemon for a grant; ok is false if it does not answer.
+func (k *limitKeeper) ask(ctx context.Context, owner string, t *request.Target, l pace.Limit) (g pace.Grant, ok bool) {
+	ctx, cancel := context.WithTimeout(ctx, permitTimeout)
+	defer cancel()
+	b, err := k.d.Hub.Ask(ctx, owner, askPermit, conn.Marshal(request.Word{Endpoint: t.Hash(), Limit: l}))
+	var a permitAnswer
+	if err == nil {
+		err = conn.Unmarshal(b, &a)
+	}
+	if err != nil {
+		k.markUnresponsive(clock.Now(), owner, t.ID, err)
+		return g, false
+	}
+	if a.Limit.Over(l) {
+		t.HearLimit(a.Limit)
+		a.Grant.OK = a.Grant.OK || !a.Limit.Named()
+	}
+	return a.Grant, true
+}
+
+// markUnresponsive records that a daemon did not answer a query for a grant.
+func (k *limitKeeper) markUnresponsive(now time.Time, owner, endpoint string, err error) {
+	k.mu.Lock()
+	defer k.mu.Unlock()
+	k.unresponsive[owner] = now.Add(ownerRetryPause)
+	for name, until := range k.unresponsive {
+		if now.After(until) {
+			delete(k.unresponsive, name)
+		}
+	}
+	k.d.log.WithFields(logrus.Fields{"part": "limits", "granter": owner, "endpoint": endpoint, "error": err}).
+		Info("no answer to a permit query: an even share of the limit is used")
+}
+
+// answer answers another daemon's query for a grant.
+func (k *limitKeeper) answer(from string, body []byte) ([]byte, error) {
+	var w request.Word
+	if err := conn.Unmarshal(body, &w); err != nil {
+		return nil, err
+	}
+	now := clock.Now()
+	a := permitAnswer{Limit: k.d.words.merge(now, w).Limit}
+	if a.Limit.Named() {
+		a.Grant = k.owned.Allow(now, w.Endpoint, k.grantFraction()*a.Limit.PerSecond, from)
+	} else {
+		a.Grant.OK = true
+	}
+	return conn.Marshal(a), nil
+}
--- a/entry/unknown.go
+++ b/entry/unknownheaders.go
@@ -11,11 +11,11 @@
 	"streambend.example/platform"
 )
 
-// unknownMost bounds how many names of headers are told of.
-const unknownMost = 32
+// maxUnknownHeaders bounds how many header names are logged.
+const maxUnknownHeaders = 32
 
-// unknownHeaders tells once of each header of endpoints' answers that nothing here knows: it may
-// ask for something that is not done.
+// unknownHeaders logs once each header of endpoints' answers that this version does not know: it may ask for
+// something that is not implemented.
 type unknownHeaders struct {
 	log *logrus.Logger
 
@@ -23,15 +23,15 @@
 	names map[string]bool
 }
 
-// look tells of a header that is new.
-func (u *unknownHeaders) look(status int, h http.Header) {
+// logNew logs the first unknown header of an answer, unless it was logged before.
+func (u *unknownHeaders) logNew(status int, h http.Header) {
 	name := platform.UnknownHeader(h)
 	if name == "" {
 		return
 	}
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if u.names[name] || len(u.names) >= unknownMost {
+	if u.names[name] || len(u.names) >= maxUnknownHeaders {
 		return
 	}
 	if u.names == nil {
@@ -39,5 +39,5 @@
 	}
 	u.names[name] = true
 	u.log.WithFields(logrus.Fields{"part": "endpoints", "header": name, "value": platform.Shown(h.Get(name)), "status": status}).
-		Info("a header of endpoints' answers is not known here")
+		Info("unknown header in an endpoint's answer")
 }
