--- a/entry/rolloutduty.go
+++ b/entry/rolloutduty.go
@@ -17,12 +17,12 @@
 	"streambend.example/version"
 )
 
-// rolloutTable is the store's table of how far orders to move a service to a version have come.
+// rolloutTable is the store table with the progress of each service's order.
 const rolloutTable = "streambend-rollout"
 
-// rolloutRow is the value of a service's row. Whoever holds the duty writes it, with the
-// operator's status beside it in one transaction, on condition of the row as it was read: so there
-// is one end, and a holder whose lease is over without its knowing writes nothing.
+// rolloutRow is the value of a service's row. The lease holder writes it and the operator's status in
+// one transaction, on condition that the row is unchanged since it was read. So an order has one
+// outcome, and a holder that has not noticed the end of its lease writes nothing.
 type rolloutRow struct {
 	Number int64         `json:"order"`
 	Target string        `json:"target"`
@@ -32,30 +32,31 @@
 	Why    string        `json:"why,omitempty"`
 }
 
-// rolloutDuty ends orders. It goes by what the table says, not by what this daemon remembers.
+// rolloutDuty advances and ends orders. It relies on the table, not on this daemon's memory.
 type rolloutDuty struct {
 	d    *Daemon
 	rows map[string]heldRollout // as last read or written
 }
 
-// heldRollout is a row and the store's version of it, 0 for one that is not there.
+// heldRollout is a row with its version in the store, which is 0 if the row does not exist.
 type heldRollout struct {
 	rolloutRow
 	version int64
 }
 
-// begin starts a term.
+// begin starts a lease term.
 func (x *rolloutDuty) begin() { x.rows = make(map[string]heldRollout) }
 
-// step looks at each order that has not ended, or whose end the operator may not know yet.
+// step processes each order that is running, or whose outcome may not be in the operator's status yet.
 func (x *rolloutDuty) step(ctx context.Context, u *duties) {
 	for _, service := range x.d.rollouts.ordered() {
 		if err := x.service(ctx, u, service); err != nil {
-			x.d.log.WithFields(logrus.Fields{"part": "rollout", "service": service}).Warnf("order not looked at: %v", err)
+			x.d.log.WithFields(logrus.Fields{"part": "rollout", "service": service}).Warnf("order not processed: %v", err)
 		}
 	}
 }
 
+// service advances the order of one service, and records a new stage in the store.
 func (x *rolloutDuty) service(ctx context.Context, u *duties, service string) error {
 	row, read := x.rows[service]
 	state, fact, own, ok := x.d.rollouts.state(clock.Now(), service)
@@ -70,7 +71,7 @@
 		x.rows[service] = row
 	}
 	if row.Number > fact.Number {
-		return nil // of an order that has not come here yet
+		return nil // the row belongs to a newer order, not known here yet
 	}
 	if row.Number == fact.Number && row.Stage.Ended() {
 		x.d.rollouts.learn(clock.Now(), service, row.fact())
@@ -97,12 +98,12 @@
 	return x.write(ctx, u, service, row, next)
 }
 
-// present reports whether a version is the only one that the service has.
+// present reports whether a version is the service's only own version.
 func (x *rolloutDuty) present(target string, own []string) bool {
 	return len(own) == 1 && own[0] == target
 }
 
-// ownAfter returns the versions that are the service's own after the row's order, if it tells.
+// ownAfter returns the service's own versions after the row's order, or found if the row has none.
 func (r rolloutRow) ownAfter(found []string) []string {
 	switch {
 	case r.Stage == rollout.Completed:
@@ -125,11 +126,11 @@
 		return h, err
 	}
 	h.version = r.Version
-	return h, errors.Wrapf(json.Unmarshal(r.Value, &h.rolloutRow), "entry: roll-out of %s", service)
+	return h, errors.Wrapf(json.Unmarshal(r.Value, &h.rolloutRow), "entry: decode row of the roll-out of %s", service)
 }
 
-// write writes the next row and the operator's status. Whatever comes of it is read before the
-// next look: an answer that is lost may have been done.
+// write writes the next row and the operator's status. The row is read again before the next step in
+// any case, as a write may have been applied though its answer was lost.
 func (x *rolloutDuty) write(ctx context.Context, u *duties, service string, row heldRollout, next rolloutRow) error {
 	f, until, ok := u.mayAct(clock.Now())
 	if !ok {
@@ -137,15 +138,15 @@
 	}
 	from := row.Stage
 	if row.Number != next.Number {
-		from = rollout.Unknown // of an earlier order
+		from = rollout.Unknown // the row belongs to an earlier order
 	}
 	if !rollout.Allowed(from, next.Stage) {
-		return errors.Errorf("entry: an order that is %s cannot be %s", from, next.Stage)
+		return errors.Errorf("entry: an order cannot go from stage %q to %q", from, next.Stage)
 	}
 	next.Epoch = f.Token
 	value, err := json.Marshal(next)
 	if err != nil {
-		return errors.Wrap(err, "entry: roll-out")
+		return errors.Wrap(err, "entry: encode row of a roll-out")
 	}
 	status, err := platform.StatusRow(service, next.Target, next.Stage)
 	if err != nil {
@@ -168,10 +169,10 @@
 	return nil
 }
 
-// load reads how far orders have come of which nothing else is known, once a daemon has counted the
-// others: all of few daemons do, or the readers, from whom the rest hear. As all daemons had started
-// anew after a completed order, the only version there was got nothing until one of them held the
-// lease of the duties.
+// load reads from the store the progress of orders whose stage is unknown, once the daemon knows the
+// other members. In a large fleet only the readers do; the rest learn from them. Without it, when all
+// daemons restarted after a completed order, the only version got no requests until one of them held
+// the lease.
 func (k *rolloutKeeper) load(ctx context.Context) {
 	if k.active.Load() == 0 || !k.d.contact.counted.Load() || k.d.many() && !k.d.isReader() {
 		return
@@ -179,14 +180,14 @@
 	for _, service := range k.unknown() {
 		row, err := k.d.duties.rollout.read(ctx, service)
 		if err != nil {
-			k.d.log.WithFields(logrus.Fields{"part": "rollout", "service": service}).Warnf("row of an order not read: %v", err)
+			k.d.log.WithFields(logrus.Fields{"part": "rollout", "service": service}).Warnf("progress of an order not read: %v", err)
 			continue
 		}
 		k.learn(clock.Now(), service, row.fact())
 	}
 }
 
-// unknown returns the services of whose order nothing else is known.
+// unknown returns the services whose order has an unknown stage.
 func (k *rolloutKeeper) unknown() (out []string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -198,8 +199,8 @@
 	return out
 }
 
-// state returns what the holder decides by. Of a service with several versions of its own the order
-// is for one of them all the same.
+// state returns the input for the lease holder's decision on a service's order. The order names one
+// version, also if the service has several own versions.
 func (k *rolloutKeeper) state(now time.Time, service string) (s rollout.State, f rollout.Fact, own []string, ok bool) {
 	c := k.d.catalog.get()
 	if c == nil || !c.Names(service) {
@@ -219,7 +220,7 @@
 	return s, v.fact, v.own, true
 }
 
-// enough returns how many endpoints the new version needs before it gets all requests.
+// enough returns how many ready endpoints the new version needs before it gets all requests.
 func (k *rolloutKeeper) enough(service string, old int) int {
 	c := k.d.catalog.get()
 	b, ok := c.Backend[service]
@@ -229,7 +230,7 @@
 	return max(1, min(old, k.d.duties.scale.enough(b)))
 }
 
-// enough returns how many endpoints serve what is asked of a service.
+// enough returns how many endpoints the current demand for a service needs, or 0 if it is unknown.
 func (x *scaleDuty) enough(b version.Backend) int {
 	w := x.demand[b.Name]
 	if w == nil || !w.Seen {
@@ -238,7 +239,7 @@
 	return capacity.Enough(x.load(b, w))
 }
 
-// decided takes over what this daemon has written as the holder of the duty, and tells all.
+// decided applies a stage that this daemon has written as the lease holder, and broadcasts it.
 func (k *rolloutKeeper) decided(now time.Time, service string, f rollout.Fact) {
 	k.mu.Lock()
 	v := k.of(service)
--- a/entry/rolloutslow.go
+++ b/entry/rolloutlatency.go
@@ -9,29 +9,29 @@
 	"streambend.example/request"
 )
 
-// usualTime is how long answers of the old version take on a route, beside what is expected of
-// each.
+// usualTime is the latency baseline of a route: how long answers of the old version take compared
+// with their expected time.
 type usualTime struct {
-	times float64 // as a multiple of what is expected
-	gap   float64 // seconds between two events
-	seen  int
+	times float64 // mean ratio of the actual to the expected time
+	gap   float64 // mean time between two events, in seconds
+	seen  int     // number of answers
 }
 
 const (
-	// slowTimes is from how many times the usual on an answer counts as slow: a version that is
-	// slower by several times passes it with nearly each answer, one of the old version with
-	// one in thirty (lognormal times of a spread of 0.3).
+	// slowTimes is the multiple of the baseline beyond which an answer counts as slow. Nearly every
+	// answer of a version that is several times slower exceeds it, and one in thirty of the old
+	// version's (lognormal times with a spread of 0.3).
 	slowTimes = 1.75
-	// usualWeight is the weight of one answer in what is usual, and usualLeast how many answers
-	// make it known.
+	// usualWeight is the weight of one answer in the baseline, and usualLeast the number of answers
+	// that make the baseline valid.
 	usualWeight = 0.05
 	usualLeast  = 5
-	// expectLeast is what an answer is expected to take at least.
+	// expectLeast is the lower bound on an answer's expected time.
 	expectLeast = 5 * time.Millisecond
 )
 
-// slow reports whether an answer took several times as long as the old version's do, and learns
-// from those.
+// slow reports whether an answer took longer than slowTimes the route's baseline, and updates the
+// baseline with answers of the old version.
 func (v *serviceVersions) slow(a request.TrialAnswer, isNew bool) bool {
 	if v.usual == nil {
 		v.usual = make(map[string]*usualTime)
--- a/entry/rolloutorders.go
+++ b/entry/rolloutorders.go
@@ -12,7 +12,8 @@
 	"streambend.example/rollout"
 )
 
-// takeRows takes in the operator's orders. Of a whole reading, what is missing was withdrawn.
+// takeRows applies the operator's orders. If the rows are the whole table, an order that is missing
+// from them was withdrawn.
 func (k *rolloutKeeper) takeRows(now time.Time, rows []platform.Row, whole bool) {
 	there := make(map[string]bool)
 	for _, r := range rows {
@@ -27,7 +28,7 @@
 		}
 		o, err := platform.ReadRollout(r)
 		if err != nil {
-			k.d.log.WithFields(logrus.Fields{"part": "rollout", "service": service, "version": r.Version}).Warnf("order left out: %v", err)
+			k.d.log.WithFields(logrus.Fields{"part": "rollout", "service": service, "version": r.Version}).Warnf("invalid order ignored: %v", err)
 			k.d.meters.refused(codeOf(err))
 			continue
 		}
@@ -55,7 +56,7 @@
 	return out
 }
 
-// withdraw notes that the operator has taken an order back: it is rolled back, unless it has ended.
+// withdraw records that the operator has removed an order, and rolls it back unless it has ended.
 func (k *rolloutKeeper) withdraw(service string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
--- a/entry/rolloutnews.go
+++ b/entry/rolloutreports.go
@@ -11,19 +11,19 @@
 	"streambend.example/rollout"
 )
 
-// orderWord is what one daemon tells another of an order.
+// orderWord is the report of an order that daemons exchange.
 type orderWord struct {
 	Order rollout.Order `codec:"o"`
-	Age   time.Duration `codec:"a"` // since it was written, at the least
+	Age   time.Duration `codec:"a"` // lower bound on the time since it was written
 	Fact  rollout.Fact  `codec:"f"`
-	Own   []string      `codec:"w,omitempty"` // the versions that were the service's own before it
+	Own   []string      `codec:"w,omitempty"` // the service's own versions before the order
 }
 
-// endedFor is for how long daemons tell each other again and again that an order has ended: one
-// that was cut off counts as reached 4 s after. One that starts hears it with the configuration.
+// endedFor is how long daemons repeat the report of an ended order. A daemon counts as reached 4 s
+// after a partition ends; one that starts gets the report with the configuration.
 const endedFor = 30 * time.Second
 
-// words returns what is known of orders; all of them, or those that daemons tell each other again.
+// words returns reports of all orders, or only of those that daemons still repeat.
 func (k *rolloutKeeper) words(now time.Time, all bool) (out []orderWord) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -36,10 +36,10 @@
 	return out
 }
 
-// again tells others how far orders have come, each second: a daemon that has missed the word of a
-// roll-back hears it, and one that hears nothing sends nothing to a version on trial. Where daemons
-// are many the readers tell each other, and the rest hear it with each answer of theirs: to tell all
-// neighbours cost each of 78 daemons 4.6 KB a second as two services moved.
+// again sends the progress of orders to other daemons each second: a daemon that missed a roll-back
+// learns of it, and one that gets no report sends nothing to a version on trial. In a large fleet the
+// readers send to each other, and the rest get reports with each answer of a reader: sending to all
+// neighbours cost each of 78 daemons 4.6 KB/s during two roll-outs.
 func (k *rolloutKeeper) again(now time.Time) {
 	words := k.words(now, false)
 	switch {
@@ -51,26 +51,26 @@
 	}
 }
 
-// tellAll tells all daemons how far an order has come.
+// tellAll broadcasts the progress of an order.
 func (k *rolloutKeeper) tellAll(service string, o rollout.Order, heard time.Time, f rollout.Fact) {
 	o.Service = service
 	k.d.Hub.Tell(conn.Payload{Orders: conn.Marshal([]orderWord{{Order: o, Age: clock.Now().Sub(heard), Fact: f}})})
 }
 
-// take takes in what another daemon tells.
+// take decodes and applies the reports of another daemon.
 func (k *rolloutKeeper) take(now time.Time, from string, b []byte) {
 	if len(b) == 0 {
 		return
 	}
 	var words []orderWord
 	if err := conn.Unmarshal(b, &words); err != nil {
-		k.d.log.WithField("part", "rollout").Warnf("word of %s: %v", from, err)
+		k.d.log.WithField("part", "rollout").Warnf("order reports of %s: %v", from, err)
 		return
 	}
 	k.hear(now, now, words)
 }
 
-// hear takes in words that were sent at a time.
+// hear applies reports that were sent at the given time.
 func (k *rolloutKeeper) hear(now, sent time.Time, words []orderWord) {
 	for _, w := range words {
 		k.adoptOwn(w)
@@ -81,8 +81,8 @@
 	k.word = now
 }
 
-// hearAll takes in all orders that another daemon knew at a version of the store: one that is known
-// here from before and is not among them was withdrawn.
+// hearAll applies the full set of orders that another daemon knew at a version of the store. An order
+// known here that is not newer than that version and not among them was withdrawn.
 func (k *rolloutKeeper) hearAll(sent time.Time, at int64, words []orderWord) {
 	k.hear(clock.Now(), sent, words)
 	there := make(map[string]bool)
@@ -96,15 +96,15 @@
 	}
 }
 
-// orderedBefore reports whether a service's order was written by a version of the store.
+// orderedBefore reports whether a service's order is not newer than a version of the store.
 func (k *rolloutKeeper) orderedBefore(service string, at int64) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.of(service).order.Number <= at
 }
 
-// adoptOwn takes over which versions are a service's own from a daemon that has known them for
-// longer: among those found by one that starts within a roll-out they cannot be told apart.
+// adoptOwn takes a service's own versions from a daemon that knows them. A daemon that starts during
+// a roll-out cannot tell them from the new version.
 func (k *rolloutKeeper) adoptOwn(w orderWord) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -113,5 +113,5 @@
 	}
 }
 
-// codeOf returns the number of an error.
+// codeOf returns the code of an error.
 func codeOf(err error) code.Code { return code.From(err).Code }
--- a/entry/rollouts.go
+++ b/entry/rollouts.go
@@ -16,46 +16,46 @@
 )
 
 const (
-	// judgePeriod is how often the answers of a version that is rolled out are looked at; what
-	// other daemons have counted comes every 150 to 450 ms.
+	// judgePeriod is how often the results of a version on trial are evaluated. The counts of other
+	// daemons arrive every 150 to 450 ms.
 	judgePeriod = 250 * time.Millisecond
-	// findingPause is the time between two log lines of a finding that has not changed.
+	// findingPause is the minimum time between two log lines of an unchanged finding.
 	findingPause = 2 * time.Second
-	// orderLife is how old the last word of another daemon on orders may be for requests to go to
-	// a version on trial: such words come each second, and a version that has been rolled back
-	// may get nothing from 5 s after its 50th bad answer on.
+	// orderLife is the maximum age of the last order report from another daemon for requests to go
+	// to a version on trial. Reports arrive each second, and a version must get no request later
+	// than 5 s after its 50th bad answer.
 	orderLife = 2500 * time.Millisecond
-	// trialLeast is how many endpoints a version on trial uses at least, so that the fault of
-	// one is not taken for the version's.
+	// trialLeast is the minimum number of endpoints used by a version on trial, so that one faulty
+	// endpoint is not taken for a faulty version.
 	trialLeast = 2
 )
 
-// rolloutKeeper keeps, for each service, which versions may get requests and how far an order to
-// move it to another version has come. It implements request.Trials.
+// rolloutKeeper tracks, for each service, the versions that may get requests and the progress of an
+// order to move it to another version. It implements request.Trials.
 type rolloutKeeper struct {
 	d      *Daemon
-	active atomic.Int32 // orders that have not ended, so that requests are free of all this without one
+	active atomic.Int32 // number of running orders; while it is 0, requests skip the lock
 
 	mu    sync.Mutex
 	known map[string]*serviceVersions
-	word  time.Time // when another daemon has last told of orders
-	kept  []int64   // orders whose answers are kept in the tallies
+	word  time.Time // when the last report from another daemon arrived
+	kept  []int64   // orders whose results the tallies still hold
 }
 
-// serviceVersions is what is known of a service's versions. The order's fields are empty while
-// there is none.
+// serviceVersions holds a service's own versions and the state of its roll-out. The fields of the
+// roll-out are empty while there is no order.
 type serviceVersions struct {
-	own     []string // found, or taken over from an order; nil while not known
+	own     []string // found among the endpoints, or set by a completed order; nil while unknown
 	order   rollout.Order
-	heard   time.Time // the order was written by then
+	heard   time.Time // upper bound on when the order was written
 	fact    rollout.Fact
-	since   time.Time // when its stage was reached here
-	gone    bool      // the order was withdrawn, and Fact may not say so yet
+	since   time.Time // when this daemon saw the current stage begin
+	gone    bool      // the order was withdrawn; fact may not show it yet
 	share   *rollout.Bucket
 	test    *rollout.Voices
 	finding rollout.Finding
-	logged  time.Time // when the finding was logged last
-	idle    time.Time // since when the old version has nothing to do; zero while it has
+	logged  time.Time // when the finding was last logged
+	idle    time.Time // since when the old version has had no requests; zero while it has some
 	usual   map[string]*usualTime
 }
 
@@ -74,7 +74,7 @@
 	return rollout.Span{Stage: v.fact.Stage, Deadline: v.heard.Add(v.order.For)}
 }
 
-// of returns what is kept of a service; the caller holds the lock.
+// of returns the state of a service, and creates it if needed. The caller holds the lock.
 func (k *rolloutKeeper) of(service string) *serviceVersions {
 	v := k.known[service]
 	if v == nil {
@@ -121,8 +121,8 @@
 	return v != nil && (v.fact.Stage == rollout.Watching || v.fact.Stage == rollout.Shifting) && k.current(now)
 }
 
-// current reports whether a roll-back would have been heard of here: by the words of others, or as
-// there are none. The caller holds the lock.
+// current reports whether this daemon would know of a roll-back: other daemons have reported
+// recently, or there are none. The caller holds the lock.
 func (k *rolloutKeeper) current(now time.Time) bool {
 	f := k.d.fleet()
 	return f.Counted && f.Known < 2 || now.Sub(k.word) < orderLife
@@ -153,8 +153,8 @@
 	k.d.meters.tried(a.Service, side, t)
 }
 
-// order takes in an order that was written by a time, and how far it has come as far as the teller
-// knows.
+// order applies an order that was written no later than the given time, with its progress as known
+// to the sender.
 func (k *rolloutKeeper) order(now, written time.Time, o rollout.Order, fact rollout.Fact) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -185,19 +185,20 @@
 	k.apply(o.Service, v)
 }
 
-// lead is what this daemon's share of an untried version begins with.
+// lead returns the initial level, from 0 to 1, of this daemon's bucket for requests to an untried
+// version.
 func (k *rolloutKeeper) lead() float64 {
 	return float64(daemonNumber(k.d.Self.Name)) / float64(math.MaxUint32+1)
 }
 
-// learn takes in how far an order has come, and reports whether that is news.
+// learn applies the progress of an order, and reports whether the stage changed.
 func (k *rolloutKeeper) learn(now time.Time, service string, f rollout.Fact) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.advance(now, service, k.of(service), f)
 }
 
-// advance moves on to what a fact says; the caller holds the lock.
+// advance merges a fact and applies a change of stage. The caller holds the lock.
 func (k *rolloutKeeper) advance(now time.Time, service string, v *serviceVersions, f rollout.Fact) bool {
 	next := v.fact.Merge(f)
 	if f.Number != v.order.Number || next.Stage == v.fact.Stage {
@@ -215,7 +216,7 @@
 	return true
 }
 
-// apply brings the service's endpoints in line; the caller holds the lock.
+// apply updates the roles of the service's endpoints. The caller holds the lock.
 func (k *rolloutKeeper) apply(service string, v *serviceVersions) {
 	running := int32(0)
 	for _, x := range k.known {
@@ -228,8 +229,8 @@
 	pool.Rule(v.standing(), v.used(pool))
 }
 
-// used returns how many endpoints of a version on trial take requests; 0 for all. A few get as many
-// requests each as those of the old version do, so that what they answer tells of load as well.
+// used returns how many endpoints of a version on trial take requests, or 0 for all. With only a few,
+// each gets as many requests as an endpoint of the old version, so that the results also cover load.
 func (v *serviceVersions) used(pool *request.Pool) int {
 	if v.fact.Stage != rollout.Watching {
 		return 0
@@ -238,7 +239,7 @@
 	return max(trialLeast, int(math.Ceil(v.share.Cap.Share*float64(old))))
 }
 
-// tick brings what changes by time alone up to date.
+// tick updates the state that changes with time alone.
 func (k *rolloutKeeper) tick(now time.Time) {
 	c := k.d.catalog.get()
 	if c == nil || !k.d.runners.known() {
@@ -257,7 +258,7 @@
 			if v.own = rollout.OwnOf(found); v.own == nil {
 				continue
 			}
-			k.d.log.WithFields(logrus.Fields{"part": "rollout", "service": name, "own": v.own}).Info("versions that are the service's own")
+			k.d.log.WithFields(logrus.Fields{"part": "rollout", "service": name, "own": v.own}).Info("own versions of the service determined")
 			k.apply(name, v)
 			continue
 		}
@@ -269,8 +270,8 @@
 	k.forget(now)
 }
 
-// forget drops the answers counted for orders that have ended: tallies are told again and again. The
-// caller holds the lock.
+// forget drops the results of ended orders from the tallies, which are sent to other daemons
+// repeatedly. The caller holds the lock.
 func (k *rolloutKeeper) forget(now time.Time) {
 	var keep []int64
 	for _, v := range k.known {
@@ -285,7 +286,7 @@
 	}
 }
 
-// noteIdle follows since when the old version has nothing to do, over all daemons.
+// noteIdle tracks since when no daemon has a request at the old version.
 func (k *rolloutKeeper) noteIdle(now time.Time, name string, v *serviceVersions) {
 	busy := k.d.tallies.Running(now, oldKey(k.d.work(name).Pool.Service))
 	switch {
@@ -296,10 +297,10 @@
 	}
 }
 
-// oldKey names the requests at a service's old version among those that daemons run.
+// oldKey returns the key under which daemons count running requests at a service's old version.
 func oldKey(service string) string { return service + "@old" }
 
-// countOld adds what this daemon has at the old versions of services that move to another.
+// countOld adds this daemon's running requests at the old versions of services being rolled out.
 func (k *rolloutKeeper) countOld(running map[string]int) {
 	if k.active.Load() == 0 {
 		return
@@ -317,8 +318,8 @@
 	}
 }
 
-// holdsEndpoints reports whether no endpoints of a service are to be given up: while it moves to
-// another version nobody knows which of the two fleets would lose them.
+// holdsEndpoints reports whether a service must not be scaled down: during a roll-out it is unknown
+// which of the two versions would lose the endpoints.
 func (k *rolloutKeeper) holdsEndpoints(service string) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -326,8 +327,8 @@
 	return v != nil && v.running()
 }
 
-// judge looks at the answers that have come, and rolls back what is bad: for that neither the
-// table nor the holder of the duty is needed.
+// judge evaluates the results of the versions on trial, and rolls back the bad ones. This needs
+// neither the store nor the lease holder.
 func (k *rolloutKeeper) judge(now time.Time) {
 	if k.active.Load() == 0 || k.d.many() && !k.d.isReader() {
 		return
@@ -344,7 +345,7 @@
 			v.logged = now
 			k.d.log.WithFields(logrus.Fields{
 				"part": "rollout", "service": name, "order": v.order.Number, "opinion": v.finding.Opinion.String(), "why": v.finding.Reason(),
-			}).Info("answers of a version judged")
+			}).Info("version on trial evaluated")
 		}
 		if v.finding.Opinion != rollout.Bad {
 			continue
--- a/entry/runners.go
+++ b/entry/runners.go
@@ -20,48 +20,47 @@
 )
 
 const (
-	// runnerWait is how long the store holds the question for changes of the
-	// endpoints at the most. It bounds how late a silent loss of the store is
-	// noticed, and is a part of the age of every list.
+	// runnerWait is the maximum long-poll wait for endpoint changes. It bounds how late a silent loss
+	// of the store is noticed, and adds to the age of every list.
 	runnerWait = 1500 * time.Millisecond
-	// waitShare is its share of the bound on leaving endpoints. With a round of
-	// questions between daemons a list is 0.6 of the bound old at the most.
+	// waitShare limits that wait to a share of the bound on leaving endpoints. With one round of
+	// questions between daemons, a list is then at most 0.6 of the bound old.
 	waitShare = 0.35
-	// lapseHold is how long after the store's return an endpoint whose entry is
-	// missing is still used: entries that lapsed meanwhile are back within about
-	// 2 s, and a change takes some time to come here.
+	// lapseHold is how long after an outage of the store an endpoint with a missing entry is still
+	// used. Entries that expired during the outage are back within about 2 s, and a change takes some
+	// time to arrive here.
 	lapseHold = 2300 * time.Millisecond
 )
 
-// runnerKeeper keeps the pools in line with the endpoints' entries in the store.
+// runnerKeeper updates the pools from the endpoints' entries in the store.
 type runnerKeeper struct {
 	d     *Daemon
 	fresh Freshness // of the list
 
 	mu       sync.Mutex
-	version  int64 // of the store, up to which the list is complete
-	changed  int64 // of the store, at which the list was last found changed
+	version  int64 // store version up to which the list is complete
+	changed  int64 // store version at which the list last changed
 	byID     map[string]platform.Runner
-	rows     map[string]heldRow   // their entries, for other daemons
-	ended    map[string]int64     // the store's version at which entries went, for other daemons
-	floor    int64                // what went up to this version is not in ended
-	missing  map[string]bool      // entries that went while the store was away
-	unnamed  map[string]bool      // entries of services that the catalog does not name
-	bad      map[string]int64     // the store's version of entries that name no endpoint, as last logged
-	readAt   time.Time            // of the first whole list; zero before
+	rows     map[string]heldRow   // the endpoints' entries, for other daemons
+	ended    map[string]int64     // store versions at which entries were removed, for other daemons
+	floor    int64                // removals up to this store version are not in ended
+	missing  map[string]bool      // entries that disappeared around an outage of the store
+	unnamed  map[string]bool      // endpoints of services that the catalog does not name
+	bad      map[string]int64     // store versions of invalid entries, as last logged
+	readAt   time.Time            // when the first complete list arrived; zero before
 	found    map[string]time.Time // when each endpoint was found
-	failedAt time.Time            // the last time the store did not answer, or its return after that
-	away     bool                 // the store has not answered since then
+	failedAt time.Time            // the last failure of the store, or its recovery after that
+	away     bool                 // the store has not answered since failedAt
 }
 
-// heldRow is an entry as the store holds it.
+// heldRow is an entry as stored, with the store version at which this daemon applied it.
 type heldRow struct {
 	value []byte
-	at    int64 // the store's version at which it was taken in
+	at    int64
 }
 
-// endedMost bounds how many entries that went are remembered, at about 50 bytes
-// each. A daemon that is further behind gets the whole list.
+// endedMost is the maximum number of removed entries that are remembered, at about 50 bytes each. A
+// daemon that is further behind gets the complete list.
 const endedMost = 512
 
 func newRunnerKeeper(d *Daemon) runnerKeeper {
@@ -71,7 +70,7 @@
 	}
 }
 
-// follow keeps up with the store until ctx ends.
+// follow reads the changes of the endpoints' table until ctx ends.
 func (k *runnerKeeper) follow(ctx context.Context) {
 	f := feeder{d: k.d, table: platform.RunnerTable, wait: k.wait, name: "endpoints"}
 	f.run(ctx, k.current, func(now, sent time.Time, p platform.Page, whole bool) error {
@@ -82,7 +81,7 @@
 	})
 }
 
-// wait is how long the store holds the question for changes.
+// wait returns how long the store may hold the next long poll.
 func (k *runnerKeeper) wait() time.Duration {
 	most := min(runnerWait, time.Duration(waitShare*float64(k.d.Site().Bounds.Drain)))
 	if age, ok := k.fresh.Age(clock.Now()); ok {
@@ -91,13 +90,13 @@
 	return most
 }
 
-// take takes rows in. An entry that is gone right after an outage of the store
-// is held a while.
+// take applies rows read at a store version. An endpoint whose entry disappears right after an outage
+// of the store is still used for a while.
 func (k *runnerKeeper) take(now time.Time, version int64, rows []platform.Row, whole bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if version < k.version {
-		return // other daemons have brought us further meanwhile
+		return // newer rows have already come from other daemons
 	}
 	k.version = version
 	if len(rows) > 0 || whole {
@@ -115,7 +114,7 @@
 		if old, ok := k.rows[row.Key]; ok && bytes.Equal(old.value, row.Value) {
 			there[row.Key] = true
 			if !whole {
-				k.rows[row.Key] = heldRow{old.value, version} // it has changed and changed back
+				k.rows[row.Key] = heldRow{old.value, version} // the entry changed and changed back
 			}
 			continue
 		}
@@ -142,13 +141,14 @@
 	}
 }
 
+// set adds or updates an endpoint. The caller holds the lock.
 func (k *runnerKeeper) set(now time.Time, r platform.Runner) {
 	old, known := k.byID[r.ID]
 	fields := logrus.Fields{
 		"part": "endpoints", "endpoint": r.ID, "born": r.Born, "service": r.Service, "software": r.Version, "zone": r.Zone, "address": r.Address, "reclaimable": r.Reclaimable,
 	}
 	if known && r.Born != 0 && r.Born < old.Born {
-		k.d.log.WithFields(fields).WithField("present", old.Born).Info("entry of an earlier start left out")
+		k.d.log.WithFields(fields).WithField("present", old.Born).Info("entry of an earlier start ignored")
 		return
 	}
 	delete(k.missing, r.ID)
@@ -172,8 +172,8 @@
 	}
 }
 
-// pooled puts an endpoint into its service's pool, unless the catalog does not name the service
-// yet: then the entry may be another writer's, and waits.
+// pooled adds an endpoint to its service's pool. If the catalog does not name the service, the entry
+// may belong to another writer; it is set aside until the catalog does.
 func (k *runnerKeeper) pooled(r platform.Runner) *request.Target {
 	if !k.d.named(r.Service) {
 		k.unnamed[r.ID] = true
@@ -191,7 +191,7 @@
 	}))
 }
 
-// endStart ends what this daemon has under way at an earlier start of an endpoint.
+// endStart ends this daemon's requests at an earlier start of an endpoint.
 func (k *runnerKeeper) endStart(old platform.Runner) {
 	if k.unnamed[old.ID] {
 		return
@@ -199,7 +199,7 @@
 	k.d.work(old.Service).Pool.EndStart(old.ID)
 }
 
-// catalogChanged uses the entries of services that the catalog names from now on.
+// catalogChanged adds the endpoints of services that a new catalog names to their pools.
 func (k *runnerKeeper) catalogChanged(now time.Time) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -211,8 +211,7 @@
 	}
 }
 
-// leaveOut takes the endpoint of an entry out of use that cannot be read. Each entry and version is
-// told of once.
+// leaveOut removes the endpoint of an invalid entry. Each version of an entry is logged once.
 func (k *runnerKeeper) leaveOut(row platform.Row, err error) {
 	var bad *platform.BadEntry
 	if errors.As(err, &bad) && (k.bad[row.Key] != row.Version || row.Version == 0) {
@@ -222,15 +221,15 @@
 		k.bad[row.Key] = row.Version
 		k.d.meters.leftOut(bad.Reason)
 		k.d.log.WithFields(logrus.Fields{"part": "endpoints", "endpoint": row.Key, "version": row.Version, "reason": bad.Reason}).
-			Warnf("entry left out: %s", bad.Detail)
+			Warnf("invalid entry ignored: %s", bad.Detail)
 	}
 	if r, ok := k.byID[row.Key]; ok {
 		k.drop(row.Key, r)
 	}
 }
 
-// gone drops an endpoint, or marks it as missing while that may be the fault of
-// an outage.
+// gone drops an endpoint whose entry was removed, or marks it as missing if an outage of the store may
+// be the cause.
 func (k *runnerKeeper) gone(now time.Time, id string) {
 	r, ok := k.byID[id]
 	if !ok {
@@ -238,15 +237,16 @@
 	}
 	if !k.failedAt.IsZero() && now.Sub(k.failedAt) < lapseHold && !r.Leaving {
 		if !k.missing[id] {
-			k.d.log.WithFields(logrus.Fields{"part": "endpoints", "endpoint": id}).Info("entry missing after an outage, held")
+			k.d.log.WithFields(logrus.Fields{"part": "endpoints", "endpoint": id}).Info("entry missing after an outage of the store, endpoint still used")
 		}
 		k.missing[id] = true
-		k.unlist(id) // whoever has had no outage need not hold it
+		k.unlist(id) // daemons that had no outage need not keep it
 		return
 	}
 	k.drop(id, r)
 }
 
+// drop forgets an endpoint and removes it from its pool. The caller holds the lock.
 func (k *runnerKeeper) drop(id string, r platform.Runner) {
 	delete(k.byID, id)
 	delete(k.missing, id)
@@ -259,7 +259,7 @@
 	k.d.log.WithFields(logrus.Fields{"part": "endpoints", "endpoint": id, "service": r.Service}).Info("endpoint gone")
 }
 
-// unlist remembers that an entry has gone, for other daemons.
+// unlist records the removal of an entry, for other daemons.
 func (k *runnerKeeper) unlist(id string) {
 	if _, ok := k.rows[id]; !ok {
 		return
@@ -272,7 +272,7 @@
 	k.ended[id] = k.version
 }
 
-// tick drops what is still missing when its time is over.
+// tick drops the endpoints that are still missing when lapseHold is over.
 func (k *runnerKeeper) tick(now time.Time) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -284,15 +284,14 @@
 	}
 }
 
-// storeFailed notes that the store answers nobody.
+// storeFailed records that the store answers no daemon.
 func (k *runnerKeeper) storeFailed(now time.Time) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.failedAt, k.away = now, true
 }
 
-// storeBack notes that the store answers, from which on lapsed entries have
-// lapseHold to come back.
+// storeBack records that the store answers. Expired entries have lapseHold from then on to come back.
 func (k *runnerKeeper) storeBack(now time.Time) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -308,9 +307,9 @@
 	return k.version
 }
 
-// since returns the entries that have changed after a version, those that went
-// marked as removed, and the version up to which they are complete. If too much
-// is forgotten it returns all entries, and whole is true.
+// since returns the entries changed after a store version, with removed ones marked, and the store
+// version up to which they are complete. If the removals are no longer all remembered, it returns all
+// entries, and whole is true.
 func (k *runnerKeeper) since(version int64) (now int64, rows []platform.Row, whole bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -331,15 +330,15 @@
 	return k.version, rows, whole
 }
 
-// known reports whether the endpoints have been read once.
+// known reports whether a complete list of endpoints has arrived.
 func (k *runnerKeeper) known() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return !k.readAt.IsZero()
 }
 
-// knownFor returns how long ago the endpoints were read first, less than 0 if they
-// were not read yet, and which share of them was found within the last span.
+// knownFor returns the time since the first complete list, negative if there was none, and the share
+// of endpoints found within the last span.
 func (k *runnerKeeper) knownFor(now time.Time, span time.Duration) (read time.Duration, late float64) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -355,7 +354,7 @@
 	return now.Sub(k.readAt), float64(n) / float64(max(len(k.found), 1))
 }
 
-// listedFor returns how long ago an endpoint was found.
+// listedFor returns the time since an endpoint was found, or 0 if it is unknown.
 func (k *runnerKeeper) listedFor(now time.Time, id string) time.Duration {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -366,14 +365,14 @@
 	return now.Sub(at)
 }
 
-// all returns the endpoints known.
+// all returns the known endpoints.
 func (k *runnerKeeper) all() []platform.Runner {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return slices.Collect(maps.Values(k.byID))
 }
 
-// memory returns how many tokens an engine of a service keeps, or 0.
+// memory returns the cache size in tokens of a service's engines, or 0 if it is unknown.
 func (d *Daemon) memory(service string) int {
 	if c := d.catalog.get(); c != nil {
 		return c.Backend[service].CacheTokens
@@ -387,7 +386,7 @@
 	return c != nil && c.Names(service)
 }
 
-// work returns what is kept of a service.
+// work returns the request state of a service, and creates it if needed.
 func (d *Daemon) work(service string) *request.Work {
 	s := version.Service{Name: service, PerBox: 1}
 	if c := d.catalog.get(); c != nil {
