--- a/entry/duties.go
+++ b/entry/duties.go
@@ -19,56 +19,56 @@
 )
 
 const (
-	// dutyShard names the one lease under which all duties are done.
+	// dutyShard is the name of the single lease for all duties.
 	dutyShard = "duties"
-	// dutyTerm is the term of the lease: it outlasts a slow store's renewal, and
-	// leaves a successor time for a report that is due in 10 s.
+	// dutyTerm is the term of the lease. It exceeds a renewal at a slow store, and leaves a successor
+	// time for a report that is due within 10 s.
 	dutyTerm = 3 * time.Second
-	// dutyMargin is how long before its end a holder stops to act: its last call
-	// has arrived, or is lost, when the next holder begins.
+	// dutyMargin is how long before the end of the term the holder stops making calls, so that its
+	// last call has arrived or is lost when the next holder begins.
 	dutyMargin = 900 * time.Millisecond
-	// dutyPeriod is how often the holder renews and others look, dutyStep how
-	// often the holder looks for work.
+	// dutyPeriod is how often the holder renews the lease and other daemons check it, and dutyStep
+	// how often the holder checks for work.
 	dutyPeriod = 900 * time.Millisecond
 	dutyStep   = 250 * time.Millisecond
-	// dutyWatch is how often the others look at a lease whose holder they know
-	// to be alive.
+	// dutyWatch is how often other daemons check a lease whose holder they know to be alive.
 	dutyWatch = 2500 * time.Millisecond
-	// dutySettle is how long after its start a daemon leaves the duties to others at
-	// least: by then those that start together have read each other's rows, and only
-	// the readers of many look at the lease. Each of 60 had looked at it and tried to
-	// take it, which was a third of the calls of their start.
+	// dutySettle is the minimum time after its start before a daemon tries to take the lease. By then,
+	// daemons that start together have read each other's rows, and only the readers of a large fleet
+	// check the lease. Without it, each of 60 daemons tried to take the lease, which was a third of
+	// the calls of their start.
 	dutySettle = 500 * time.Millisecond
-	// rosterSettle is for how long a daemon that starts must have known the same daemons, and
-	// rosterMost until when it heeds that: as 60 start at once, one that has not heard of its zone's
-	// reader yet takes itself for that, and the lease goes from hand to hand.
+	// rosterSettle is how long the roster must be unchanged before a starting daemon tries to take the
+	// lease; rosterMost after the start this no longer applies. When 60 daemons start at once, one
+	// that does not know its zone's reader yet considers itself the reader, and the lease keeps
+	// changing hands.
 	rosterSettle = 2 * dutyStep
 	rosterMost   = 3 * time.Second
-	// dutyPatience is how long the store may fail a holder until it leaves the
-	// duties to others: within it falls the next renewal.
+	// dutyPatience is how long renewals may fail until the holder gives the lease up. The next renewal
+	// falls within it.
 	dutyPatience = time.Second
-	// dutyCall bounds a call to the cloud API.
+	// dutyCall is the timeout of a call to the cloud API.
 	dutyCall = 1500 * time.Millisecond
 )
 
-// duties are the calls that one daemon at a time makes.
+// duties runs the tasks that only one daemon at a time performs, under a lease.
 type duties struct {
 	d       *Daemon
-	gate    gate // over the lease and what follows from it: a planned stop gives it up from outside
-	calls   gate // over a call under the lease, which must be over before that is freed
+	gate    gate // guards the lease and what depends on it; a planned stop releases it concurrently
+	calls   gate // held during a call under the lease, which must end before the lease is released
 	lease   version.Lease
 	usage   usageDuty
 	scale   scaleDuty
 	rollout rolloutDuty
 
 	held    bool
-	failing time.Time // since when renewals fail; zero while they do not
-	began   time.Time // of this process
-	roster  *Roster   // as last looked at, and since when it is so
-	since   time.Time
-	acted   time.Time    // the end of the last call that this process has made
-	actFrom time.Time    // earlier, this daemon might be seen to alternate with another
-	freed   atomic.Int64 // epoch whose holder has said that it acts no more
+	failing time.Time    // since when renewals fail; zero while they succeed
+	began   time.Time    // start of this process
+	roster  *Roster      // as last seen
+	since   time.Time    // when the roster last changed
+	acted   time.Time    // end of this process's last call
+	actFrom time.Time    // before this, a call could look like alternation with another holder
+	freed   atomic.Int64 // latest epoch whose holder has released the lease
 }
 
 func newDuties(d *Daemon) *duties {
@@ -79,14 +79,14 @@
 	return x
 }
 
-// run renews the lease and does what is due until ctx ends.
+// run renews the lease and performs the duties until ctx ends.
 func (x *duties) run(ctx context.Context) {
 	if x.d.Site().Cloud == "" || !(x.d.Site().Duties.Usage || x.d.Site().Duties.Scaling) {
 		return
 	}
 	var renewed time.Time
 	for ctx.Err() == nil {
-		clock.Look() // the term may have ended in the box's sleep
+		clock.Look() // the term may have ended while the box was suspended
 		now := clock.Now()
 		able := x.able(now)
 		if !able && x.holds() {
@@ -104,25 +104,26 @@
 	}
 }
 
-// able reports whether this daemon may have the lease: it knows how many daemons there
-// are, and where they are many, only the readers know all tallies.
+// able reports whether this daemon may hold the lease: it must know how many daemons there are, and
+// in a large fleet it must be a reader, as only readers know all tallies.
 func (x *duties) able(now time.Time) bool {
 	if r := x.d.roster(); r != x.roster {
 		x.roster, x.since = r, now
 	}
-	// Only to take it: a holder that gave it up for this would let another act, and take it back.
+	// This applies only to taking the lease: a holder that released it for this would let another
+	// daemon act, and then take it back.
 	settled := x.holds() || now.Sub(x.began) >= dutySettle && (now.Sub(x.since) >= rosterSettle || now.Sub(x.began) >= rosterMost)
 	return x.d.contact.counted.Load() && settled && (!x.d.many() || x.d.isReader())
 }
 
-// holds reports whether the lease was ours when it was last looked at.
+// holds reports whether this daemon held the lease when it last checked.
 func (x *duties) holds() bool {
 	x.gate.lock()
 	defer x.gate.unlock()
 	return x.held
 }
 
-// period is how long after a look at the lease the next is due.
+// period returns the time between two checks of the lease.
 func (x *duties) period() time.Duration {
 	x.gate.lock()
 	defer x.gate.unlock()
@@ -138,8 +139,8 @@
 	return dutyPeriod
 }
 
-// abandoned returns the newest epoch whose holder is known to act no more: it has
-// said so, or its daemon has started anew since.
+// abandoned returns the newest epoch whose holder is known to make no more calls: it has released the
+// lease, or its daemon has restarted since.
 func (x *duties) abandoned(row version.LeaseRow) int64 {
 	freed := x.freed.Load()
 	if row.Epoch <= freed || row.Holder == instanceOf(x.d.Self) {
@@ -153,14 +154,14 @@
 	return freed
 }
 
-// hearFreed takes in that the holder of an epoch acts no more.
+// hearFreed records that the holder of an epoch has released the lease.
 func (x *duties) hearFreed(epoch int64) {
 	if x.freed.Load() < epoch {
 		x.freed.Store(epoch)
 	}
 }
 
-// step renews the lease, or takes it.
+// step renews the lease, or tries to take it.
 func (x *duties) step(ctx context.Context, now time.Time) {
 	x.gate.lock()
 	defer x.gate.unlock()
@@ -177,7 +178,7 @@
 		x.usage.begin(clock.Now())
 		x.scale.begin()
 		x.rollout.begin()
-		x.d.log.WithFields(fields).Infof("lease taken, held before by %q", before.Holder)
+		x.d.log.WithFields(fields).Infof("lease taken, previous holder %q", before.Holder)
 	}
 	if err != nil && held {
 		if x.failing.IsZero() {
@@ -196,9 +197,9 @@
 	x.held = held
 }
 
-// mayAlternate returns from when on this daemon may act after another: three
-// calls in turn by it, the other and it again must not fall within the bound. A
-// process that has just begun does not know when its daemon acted last.
+// mayAlternate returns the earliest time at which this daemon may make a call after another holder:
+// calls by this daemon, the other and this daemon again must not fall within the lease bound. A new
+// process does not know when its daemon made its last call, and counts from its start.
 func (x *duties) mayAlternate(before string) time.Time {
 	if before == "" || nodeOf(before) == x.d.Self.Name {
 		return time.Time{}
@@ -210,8 +211,8 @@
 	return last.Add(x.d.Site().Bounds.Lease)
 }
 
-// giveUp ends the term of a holder that the store does not answer, and tells the
-// others, so that one which it answers need not wait the term out.
+// giveUp drops the lease when the store does not answer this daemon, and tells the other daemons, so
+// that one with access to the store need not wait for the end of the term.
 func (x *duties) giveUp(now time.Time) {
 	epoch, held := x.lease.Held(now)
 	if !held {
@@ -219,17 +220,17 @@
 	}
 	x.lease.Drop()
 	x.held = false
-	x.d.log.WithFields(logrus.Fields{"part": "duties", "epoch": epoch}).Warn("lease given up, the store does not answer")
+	x.d.log.WithFields(logrus.Fields{"part": "duties", "epoch": epoch}).Warn("lease given up: the store does not answer")
 	x.d.Hub.Tell(conn.Payload{Freed: epoch})
 }
 
-// nodeOf returns the daemon's name in the name of one of its starts.
+// nodeOf returns the daemon name in an instance name.
 func nodeOf(instance string) string {
 	node, _ := splitInstance(instance)
 	return node
 }
 
-// splitInstance takes what instanceOf has made apart.
+// splitInstance splits an instance name, as instanceOf returns it, into daemon name and start time.
 func splitInstance(instance string) (node string, start int64) {
 	at := strings.LastIndexByte(instance, '#')
 	if at < 0 {
@@ -242,8 +243,8 @@
 	return instance[:at], start
 }
 
-// mayAct returns the fence to act under, if the lease allows to act now, and until
-// when a call must have arrived.
+// mayAct returns the fencing token to use and the time by which a call must have arrived; ok is false
+// if the lease does not allow a call now.
 func (x *duties) mayAct(now time.Time) (f platform.Fence, until time.Time, ok bool) {
 	x.gate.lock()
 	defer x.gate.unlock()
@@ -254,15 +255,15 @@
 	return platform.Fence{Holder: x.d.Self.Name, Token: epoch}, x.lease.Ends(), true
 }
 
-var errNoLease = errors.New("entry: the lease is over")
+var errNoLease = errors.New("entry: the lease is not held")
 
-// call makes a call to the cloud API under the lease as it stands then: what allowed
-// to begin a report may be over when the store has taken that down. The call ends
-// with the term, and the lease is not freed while it is under way.
+// call makes a call to the cloud API under the current lease. It checks the lease anew, as that may
+// have ended since, for instance while the store committed a report. The call is cancelled at the end
+// of the term, and the lease is not released during the call.
 func (x *duties) call(ctx context.Context, do func(context.Context, platform.Fence) error) error {
 	x.calls.lock()
 	defer x.calls.unlock()
-	clock.Look() // as above, at the last step before the call
+	clock.Look() // the box may have been suspended; check again just before the call
 	now := clock.Now()
 	f, until, ok := x.mayAct(now)
 	if !ok {
@@ -274,6 +275,7 @@
 	return do(ctx, f)
 }
 
+// act performs one step of each duty.
 func (x *duties) act(ctx context.Context) {
 	x.rollout.step(ctx, x)
 	if x.d.Site().Duties.Usage {
@@ -284,7 +286,7 @@
 	}
 }
 
-// release gives the lease up, so that another daemon need not wait its term out.
+// release frees the lease, so that another daemon need not wait for the end of the term.
 func (x *duties) release(ctx context.Context) {
 	x.calls.lock()
 	defer x.calls.unlock()
@@ -298,8 +300,7 @@
 	}
 }
 
-// gate lets one in at a time, as a mutex does; whoever waits at it holds up nothing
-// else, also in virtual time.
+// gate is a mutex made of a channel, so that waiting for it does not stop virtual time.
 type gate chan struct{}
 
 func newGate() gate { return make(gate, 1) }
--- a/entry/scale.go
+++ b/entry/scale.go
@@ -22,61 +22,57 @@
 )
 
 const (
-	// scaleTable is the store's table of what services were found with.
+	// scaleTable is the store table with the initial endpoint count of each service and zone.
 	scaleTable = "streambend-scale"
-	// orderAgain is how long an order that was taken is waited for.
+	// orderAgain is how long an accepted order may take effect before it is sent again.
 	orderAgain = 6 * time.Second
-	// dryProbe is how long after a refusal endpoints are asked for again. A call
-	// costs as much as a twentieth of a second of an endpoint on demand; ten of
-	// those stood in for reclaimable ones 5 s longer than needed when a refused zone
-	// was asked again after 5 s.
+	// dryProbe is the backoff after the first refused order. A call costs as much as 0.05 s of an
+	// on-demand endpoint; with a backoff of 5 s, ten on-demand endpoints replaced reclaimable ones
+	// for 5 s longer than needed.
 	dryProbe = time.Second
-	// dryGrowth is by how much that time grows with each refusal in a row, and
-	// dryMost what it grows to, where refusals go on.
+	// dryGrowth is the factor by which the backoff grows with each consecutive refusal, up to dryMost.
 	dryGrowth = 1.1
 	dryMost   = 5 * time.Second
-	// countBeats is how many heartbeats after the first list of endpoints they
-	// are counted at the earliest: all were just started where the daemons were,
-	// and the last was seen to write itself to the store 2.4 heartbeats after that
-	// list. If more than lateShare of them were found in the last quietBeats, they
-	// are not counted yet: 70 of 90 were found after 2.7 on a large fleet. After
-	// countMost they are counted all the same.
+	// countBeats is the minimum time, in heartbeats, from the first list of endpoints until they are
+	// counted: when endpoints and daemons start together, the last endpoint registered 2.4 heartbeats
+	// after that list. The count is put off while more than lateShare of the endpoints were found in
+	// the last quietBeats (in a large fleet, 70 of 90 were found after 2.7), but not beyond countMost.
 	countBeats = 2.7
 	quietBeats = 0.5
 	lateShare  = 0.1
 	countMost  = 4.5
-	// servingAfter is from when on an endpoint that is listed is taken to serve
-	// though nothing of this daemon's was answered there.
+	// servingAfter is how long after it was listed an endpoint is assumed to serve, even if it has
+	// not answered a request of this daemon.
 	servingAfter = 3 * time.Second
-	// noQueueUse is the share of their time that endpoints are to read prompts
-	// where no queueing is reckoned with.
+	// noQueueUse is the target utilization, as the share of time that endpoints read prompts, when
+	// the queueing model is switched off.
 	noQueueUse = 0.55
 )
 
-// scaleDuty orders endpoints.
+// scaleDuty orders endpoints from the cloud API.
 type scaleDuty struct {
 	d      *Daemon
 	state  map[string]*serviceScale
-	demand map[string]*capacity.Demand // by service, at every daemon, so that a new holder knows it
+	demand map[string]*capacity.Demand // by service; every daemon tracks it, for when it takes the lease
 }
 
-// drySpell is the time in which endpoints of a kind are refused.
+// drySpell is the backoff for a kind of endpoint whose orders are refused.
 type drySpell struct {
-	until time.Time     // when to ask again
-	pause time.Duration // before that; 0 while none is refused
+	until time.Time     // the earliest time of the next order
+	pause time.Duration // the length of the current backoff
 }
 
-// serviceScale is what the holder knows of its own orders.
+// serviceScale is the lease holder's record of its own orders for a service.
 type serviceScale struct {
 	base    map[string]int
 	ordered map[capacity.Kind]scaleOrdered
 	dry     map[capacity.Kind]drySpell
 	hold    capacity.Hold
-	live    map[capacity.Kind]int // at the last look
-	planned string                // the last plan that was written to the log
+	live    map[capacity.Kind]int // in the previous step
+	planned string                // the last plan logged
 }
 
-// refused reports whether endpoints were refused lately in some zone.
+// refused reports whether endpoints are in backoff in some zone.
 func (s *serviceScale) refused(reclaimable bool) bool {
 	for k := range s.dry {
 		if k.Reclaimable == reclaimable {
@@ -86,11 +82,12 @@
 	return false
 }
 
-// had takes in that some are to be had: the other zones are asked again at once.
+// had ends the backoff in all zones after an order was accepted, so that they are tried again at once.
 func (s *serviceScale) had(reclaimable bool) {
 	maps.DeleteFunc(s.dry, func(k capacity.Kind, _ drySpell) bool { return k.Reclaimable == reclaimable })
 }
 
+// scaleOrdered is the last accepted order for a kind of endpoint.
 type scaleOrdered struct {
 	count int
 	at    time.Time
@@ -100,11 +97,10 @@
 	return scaleDuty{d: d, state: make(map[string]*serviceScale), demand: make(map[string]*capacity.Demand)}
 }
 
-// begin starts a term: what an earlier holder has ordered is not known.
+// begin starts a lease term. The orders of earlier holders are not known.
 func (x *scaleDuty) begin() { clear(x.state) }
 
-// observe follows what is asked of each service, at every daemon, so that a new
-// holder knows it.
+// observe tracks the demand for each service. Every daemon does, so that a new lease holder knows it.
 func (x *scaleDuty) observe(now time.Time) {
 	c := x.d.catalog.get()
 	if c == nil {
@@ -140,28 +136,28 @@
 	}
 }
 
-// countable reports whether all endpoints that were there at the start are
-// likely to have been found.
+// countable reports whether all endpoints that existed at the start have probably been found.
 func (x *scaleDuty) countable(now time.Time) bool {
 	beats := func(n float64) time.Duration { return time.Duration(n * float64(x.d.Site().Bounds.Heartbeat)) }
 	read, late := x.d.runners.knownFor(now, beats(quietBeats))
 	return read >= beats(countBeats) && (late <= lateShare || read >= beats(countMost))
 }
 
-// early reports whether a service of a system that starts for the first time is
-// ordered before its endpoints can be counted.
+// early reports whether orders for a service may be sent before its endpoints can be counted,
+// because the whole system starts for the first time.
 func (x *scaleDuty) early(service string) bool {
 	w := x.demand[service]
 	return x.d.without.On(mechanism.EarlyStart) && x.d.Site().First && w != nil && !w.Seen
 }
 
+// service sends the orders that are due for one service.
 func (x *scaleDuty) service(ctx context.Context, u *duties, b version.Backend) {
 	live, serving := x.count(clock.Now(), b.Name)
 	s := x.state[b.Name]
 	if s == nil {
 		base, err := x.base(ctx, b.Name, live)
 		if err != nil {
-			x.d.log.WithFields(logrus.Fields{"part": "scale", "service": b.Name}).Warnf("first numbers: %v", err)
+			x.d.log.WithFields(logrus.Fields{"part": "scale", "service": b.Name}).Warnf("initial endpoint counts not read: %v", err)
 			return
 		}
 		s = &serviceScale{base: base, ordered: make(map[capacity.Kind]scaleOrdered), dry: make(map[capacity.Kind]drySpell)}
@@ -179,7 +175,7 @@
 	}
 }
 
-// plan returns the orders that a service should have now.
+// plan returns the endpoint counts that a service should have now.
 func (x *scaleDuty) plan(now time.Time, b version.Backend, s *serviceScale, live, serving map[capacity.Kind]int) []capacity.Order {
 	w := x.demand[b.Name]
 	if w == nil {
@@ -218,13 +214,13 @@
 	return plan
 }
 
-// load returns what is asked of a service.
+// load returns the current load of a service.
 func (x *scaleDuty) load(b version.Backend, w *capacity.Demand) capacity.Load {
 	pool := x.d.work(b.Name).Pool
 	l := capacity.Load{Busy: w.Busy}
 	slots := pool.Slots()
 	if slots == 0 {
-		slots = float64(b.Slots) // of those that will come
+		slots = float64(b.Slots) // of the endpoints to come
 	}
 	if slots > 0 {
 		l.Places = w.Running / slots
@@ -249,8 +245,8 @@
 	return n
 }
 
-// forgetLost forgets the orders of zones whose endpoints have just gone, so that
-// they are ordered again at once: a refusal tells early that none are to be had.
+// forgetLost drops the orders of zones that have just lost all their endpoints, so that they are
+// ordered again at once: a refusal shows early that none are available.
 func (s *serviceScale) forgetLost(live map[capacity.Kind]int) {
 	for k := range s.live {
 		if live[k] == 0 && s.live[k] > 0 {
@@ -260,14 +256,14 @@
 	s.live = live
 }
 
-// due reports whether an order is to be sent now.
+// due reports whether an order has to be sent now.
 func (s *serviceScale) due(now time.Time, o capacity.Order, live int) bool {
 	if more := o.Count > live; more && now.Before(s.dry[o.Kind].until) {
 		return false
 	}
 	last, ok := s.ordered[o.Kind]
 	if !ok {
-		return o.Count > 0 || live > 0 // none are there, and none are wanted
+		return o.Count > 0 || live > 0 // nothing to do if none exist and none are wanted
 	}
 	if last.count != o.Count {
 		return true
@@ -275,6 +271,7 @@
 	return live != o.Count && now.Sub(last.at) >= orderAgain
 }
 
+// order sends an order to the cloud API and records the result.
 func (x *scaleDuty) order(ctx context.Context, u *duties, service string, s *serviceScale, o capacity.Order, live int) error {
 	fields := logrus.Fields{"part": "scale", "service": service, "zone": o.Zone, "reclaimable": o.Reclaimable, "count": o.Count}
 	err := u.call(ctx, func(ctx context.Context, f platform.Fence) error {
@@ -300,15 +297,15 @@
 	return nil
 }
 
-// count counts the endpoints of a service that take requests, and those of them
-// that serve: that have answered, or are listed for so long that they can.
+// count returns, by kind, how many endpoints of a service accept requests (live), and how many of
+// those have answered one or have been listed for servingAfter (serving).
 func (x *scaleDuty) count(now time.Time, service string) (live, serving map[capacity.Kind]int) {
 	live, serving = make(map[capacity.Kind]int), make(map[capacity.Kind]int)
 	pool := x.d.work(service).Pool
 	for _, r := range x.d.runners.all() {
 		t := pool.Get(r.ID)
 		if r.Service != service || r.Leaving || t != nil && t.Role() != rollout.Own {
-			continue // of a version that is rolled out beside it
+			continue // an endpoint of a version being rolled out is not counted
 		}
 		k := capacity.Kind{Zone: r.Zone, Reclaimable: r.Reclaimable}
 		live[k]++
@@ -319,8 +316,7 @@
 	return live, serving
 }
 
-// base returns by zone how many endpoints the service was found with: the first
-// holder ever writes it down.
+// base returns the service's initial endpoint count by zone. The first lease holder ever stores it.
 func (x *scaleDuty) base(ctx context.Context, service string, live map[capacity.Kind]int) (map[string]int, error) {
 	ctx, cancel := context.WithTimeout(ctx, 2*answerLimit)
 	defer cancel()
@@ -347,7 +343,7 @@
 	for _, r := range rows.Rows {
 		n, err := strconv.Atoi(string(r.Value))
 		if err != nil {
-			return nil, errors.Wrapf(err, "entry: number of %s in %s", service, r.Key)
+			return nil, errors.Wrapf(err, "entry: initial endpoint count of %s in zone %s", service, r.Key)
 		}
 		out[r.Key] = n
 	}
--- a/entry/usage.go
+++ b/entry/usage.go
@@ -15,28 +15,26 @@
 )
 
 const (
-	// usageTable is the store's table of the reports, one row a window.
+	// usageTable is the store table of the usage reports, one row per window.
 	usageTable = "streambend-usage"
-	// usageSettle is how long after a window its report is made: the tallies of
-	// all daemons are here by then, and a report that fails has time to be sent
-	// again before it is late.
+	// usageSettle is the delay of a report after the end of its window. By then the tallies of all
+	// daemons have arrived, and a failed report can be sent again before it is late.
 	usageSettle = 1800 * time.Millisecond
-	// usageBack is how many windows before the present a new holder looks at.
+	// usageBack is how many windows before the current one a new lease holder starts to report.
 	usageBack = 3
-	// usageKept is how many windows back rows are left in the store.
+	// usageKept is for how many windows the reports stay in the store.
 	usageKept = 12
 )
 
-// usageDuty reports how many requests of each team began in each window. The
-// counts of a window are committed to the store before they are sent, so that
-// whoever sends them again sends the same.
+// usageDuty reports how many requests of each team began in each window. The counts of a window are
+// committed to the store before they are sent, so that every report of a window is the same.
 type usageDuty struct {
 	d    *Daemon
 	next int64          // the window to report next
-	done map[int64]bool // reported ones
+	done map[int64]bool // windows already reported
 }
 
-// begin starts a term.
+// begin starts a lease term.
 func (u *usageDuty) begin(now time.Time) {
 	if first := u.d.window(now) - usageBack; first > u.next {
 		u.next = first
@@ -50,18 +48,19 @@
 			return
 		}
 		if err := u.report(ctx, x, u.next); err != nil {
-			u.d.log.WithFields(logrus.Fields{"part": "usage", "window": u.next}).Warnf("not reported yet: %v", err)
+			u.d.log.WithFields(logrus.Fields{"part": "usage", "window": u.next}).Warnf("usage not reported, will be retried: %v", err)
 			return
 		}
 	}
 }
 
-// due reports whether the next window has ended long enough ago.
+// due reports whether the next window ended at least usageSettle ago.
 func (u *usageDuty) due(now time.Time) bool {
 	end := time.Unix(0, (u.next+1)*u.d.Site().Bounds.UsageWindow.Nanoseconds())
 	return !u.d.wall.At(now).Before(end.Add(usageSettle))
 }
 
+// report commits and sends the report of a window.
 func (u *usageDuty) report(ctx context.Context, x *duties, window int64) error {
 	body, err := u.commit(ctx, window)
 	if err != nil {
@@ -71,13 +70,12 @@
 		if err := u.d.cloud.ReportUsage(ctx, f, body); err != nil {
 			return err
 		}
-		u.d.log.WithFields(logrus.Fields{"part": "usage", "window": window, "fence": f.Token, "report": string(body)}).Info("reported")
+		u.d.log.WithFields(logrus.Fields{"part": "usage", "window": window, "fence": f.Token, "report": string(body)}).Info("usage reported")
 		return nil
 	})
 }
 
-// commit returns the report of a window that the store holds, and puts ours
-// there if it holds none.
+// commit returns the report of a window from the store, after storing this daemon's if there is none.
 func (u *usageDuty) commit(ctx context.Context, window int64) ([]byte, error) {
 	body, err := platform.EncodeUsage(platform.Usage{Window: window, Counts: u.d.tallies.Window(window)})
 	if err != nil {
@@ -99,7 +97,7 @@
 	}
 	row, _, ok, err := u.d.store.Row(call, usageTable, "", key)
 	if err != nil || !ok {
-		return nil, errors.Wrap(err, "entry: report in the store")
+		return nil, errors.Wrap(err, "entry: read usage report from the store")
 	}
 	return row.Value, nil
 }
