--- a/entry/daemon.go
+++ b/entry/daemon.go
@@ -64,7 +64,7 @@
 	flow     FlowReader
 	sends    sendQueue
 	duties   *duties
-	rollouts rolloutKeeper
+	rollouts rolloutController
 	limits   limitKeeper
 	words    wordKeeper
 	meters   *meters
@@ -122,7 +122,7 @@
 	d.cloud = platform.NewCloud(site.Cloud, d.outside)
 	d.catalog.d = d
 	d.runners = newRunnerKeeper(d)
-	d.rollouts = newRolloutKeeper(d)
+	d.rollouts = newRolloutController(d)
 	d.limits, d.words = newLimitKeeper(d), newWordKeeper(d)
 	d.tallies = NewTallies(d.Self)
 	d.sends.wake = make(chan struct{}, 1)
@@ -265,8 +265,8 @@
 	d.run(func() { d.syncMembers(d.ctx) })
 	d.run(func() { d.loadHolds(d.ctx) })
 	d.every(holdsAgain, d.Server.Holds.Again)
-	d.every(holdsAgain, d.rollouts.again)
-	d.every(judgePeriod, d.rollouts.judge)
+	d.every(holdsAgain, d.rollouts.sendReports)
+	d.every(evaluationPeriod, d.rollouts.evaluate)
 	d.every(tickPeriod, func(time.Time) { d.rollouts.load(d.ctx) })
 	d.every(tickPeriod, func(now time.Time) {
 		d.noteSleep()
@@ -311,7 +311,7 @@
 		d.duties.hearFreed(in.Payload.Freed)
 	}
 	d.Server.Holds.Take(now, in.From, in.Payload)
-	d.rollouts.take(now, in.From, in.Payload.Orders)
+	d.rollouts.receive(now, in.From, in.Payload.Orders)
 	d.words.hear(now, in.From, in.Payload.Words)
 	if len(in.Payload.Sends) > 0 {
 		d.hearSends(now, in)
--- a/entry/rolloutduty.go
+++ b/entry/rolloutduty.go
@@ -35,17 +35,17 @@
 // rolloutDuty advances and ends orders. It relies on the table, not on this daemon's memory.
 type rolloutDuty struct {
 	d    *Daemon
-	rows map[string]heldRollout // as last read or written
+	rows map[string]storedRollout // as last read or written
 }
 
-// heldRollout is a row with its version in the store, which is 0 if the row does not exist.
-type heldRollout struct {
+// storedRollout is a row with its version in the store, which is 0 if the row does not exist.
+type storedRollout struct {
 	rolloutRow
 	version int64
 }
 
 // begin starts a lease term.
-func (x *rolloutDuty) begin() { x.rows = make(map[string]heldRollout) }
+func (x *rolloutDuty) begin() { x.rows = make(map[string]storedRollout) }
 
 // step processes each order that is running, or whose outcome may not be in the operator's status yet.
 func (x *rolloutDuty) step(ctx context.Context, u *duties) {
@@ -74,7 +74,7 @@
 		return nil // the row belongs to a newer order, not known here yet
 	}
 	if row.Number == fact.Number && row.Stage.Ended() {
-		x.d.rollouts.learn(clock.Now(), service, row.fact())
+		x.d.rollouts.applyFact(clock.Now(), service, row.fact())
 		return nil
 	}
 	next := rolloutRow{Number: fact.Number, Target: fact.Target, Own: own, Stage: rollout.Watching}
@@ -84,7 +84,7 @@
 		next.Stage, next.Why = rollout.Next(clock.Now(), state)
 	} else {
 		next.Own = row.ownAfter(own)
-		if x.present(fact.Target, next.Own) {
+		if x.isOnlyVersion(fact.Target, next.Own) {
 			next.Stage, next.Why = rollout.Completed, "it is the service's version already"
 		}
 	}
@@ -92,14 +92,14 @@
 		next.Stage, next.Why = rollout.RolledBack, fact.Why
 	}
 	if row.Number == next.Number && row.Stage == next.Stage {
-		x.d.rollouts.learn(clock.Now(), service, row.fact())
+		x.d.rollouts.applyFact(clock.Now(), service, row.fact())
 		return nil
 	}
 	return x.write(ctx, u, service, row, next)
 }
 
-// present reports whether a version is the service's only own version.
-func (x *rolloutDuty) present(target string, own []string) bool {
+// isOnlyVersion reports whether a version is the service's only own version.
+func (x *rolloutDuty) isOnlyVersion(target string, own []string) bool {
 	return len(own) == 1 && own[0] == target
 }
 
@@ -118,7 +118,7 @@
 	return rollout.Fact{Number: r.Number, Target: r.Target, Stage: r.Stage, Why: r.Why}
 }
 
-func (x *rolloutDuty) read(ctx context.Context, service string) (h heldRollout, err error) {
+func (x *rolloutDuty) read(ctx context.Context, service string) (h storedRollout, err error) {
 	ctx, cancel := context.WithTimeout(ctx, answerLimit)
 	defer cancel()
 	r, _, ok, err := x.d.store.Row(ctx, rolloutTable, "", service)
@@ -131,7 +131,7 @@
 
 // write writes the next row and the operator's status. The row is read again before the next step in
 // any case, as a write may have been applied though its answer was lost.
-func (x *rolloutDuty) write(ctx context.Context, u *duties, service string, row heldRollout, next rolloutRow) error {
+func (x *rolloutDuty) write(ctx context.Context, u *duties, service string, row storedRollout, next rolloutRow) error {
 	f, until, ok := u.mayAct(clock.Now())
 	if !ok {
 		return nil
@@ -165,7 +165,7 @@
 	x.d.log.WithFields(logrus.Fields{
 		"part": "rollout", "service": service, "target": next.Target, "order": next.Number, "stage": next.Stage.String(), "epoch": next.Epoch, "why": next.Why,
 	}).Info("status of an order written")
-	x.d.rollouts.decided(clock.Now(), service, next.fact())
+	x.d.rollouts.applyDecision(clock.Now(), service, next.fact())
 	return nil
 }
 
@@ -173,7 +173,7 @@
 // other members. In a large fleet only the readers do; the rest learn from them. Without it, when all
 // daemons restarted after a completed order, the only version got no requests until one of them held
 // the lease.
-func (k *rolloutKeeper) load(ctx context.Context) {
+func (k *rolloutController) load(ctx context.Context) {
 	if k.active.Load() == 0 || !k.d.contact.counted.Load() || k.d.many() && !k.d.isReader() {
 		return
 	}
@@ -183,15 +183,15 @@
 			k.d.log.WithFields(logrus.Fields{"part": "rollout", "service": service}).Warnf("progress of an order not read: %v", err)
 			continue
 		}
-		k.learn(clock.Now(), service, row.fact())
+		k.applyFact(clock.Now(), service, row.fact())
 	}
 }
 
 // unknown returns the services whose order has an unknown stage.
-func (k *rolloutKeeper) unknown() (out []string) {
+func (k *rolloutController) unknown() (out []string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	for name, v := range k.known {
+	for name, v := range k.services {
 		if v.order.Number != 0 && v.fact.Stage == rollout.Unknown {
 			out = append(out, name)
 		}
@@ -201,7 +201,7 @@
 
 // state returns the input for the lease holder's decision on a service's order. The order names one
 // version, also if the service has several own versions.
-func (k *rolloutKeeper) state(now time.Time, service string) (s rollout.State, f rollout.Fact, own []string, ok bool) {
+func (k *rolloutController) state(now time.Time, service string) (s rollout.State, f rollout.Fact, own []string, ok bool) {
 	c := k.d.catalog.get()
 	if c == nil || !c.Names(service) {
 		return s, f, nil, false
@@ -209,19 +209,19 @@
 	pool := k.d.work(service).Pool
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	v := k.known[service]
+	v := k.services[service]
 	if v == nil || v.order.Number == 0 {
 		return s, f, nil, false
 	}
 	s = rollout.State{
 		Span: v.span(), Finding: v.finding, Ready: pool.Ready(rollout.Trial), Enough: k.enough(service, pool.Ready(rollout.Own)),
-		Busy: k.d.tallies.Running(now, oldKey(pool.Service)), IdleFrom: v.idle, Since: v.since, Gone: v.gone,
+		Busy: k.d.tallies.Running(now, oldVersionKey(pool.Service)), IdleFrom: v.idleSince, Since: v.stageSince, Gone: v.withdrawn,
 	}
 	return s, v.fact, v.own, true
 }
 
 // enough returns how many ready endpoints the new version needs before it gets all requests.
-func (k *rolloutKeeper) enough(service string, old int) int {
+func (k *rolloutController) enough(service string, old int) int {
 	c := k.d.catalog.get()
 	b, ok := c.Backend[service]
 	if !ok || b.Scaling == nil {
@@ -239,14 +239,14 @@
 	return capacity.Enough(x.load(b, w))
 }
 
-// decided applies a stage that this daemon has written as the lease holder, and broadcasts it.
-func (k *rolloutKeeper) decided(now time.Time, service string, f rollout.Fact) {
+// applyDecision applies a stage that this daemon has written as the lease holder, and broadcasts it.
+func (k *rolloutController) applyDecision(now time.Time, service string, f rollout.Fact) {
 	k.mu.Lock()
-	v := k.of(service)
+	v := k.lookup(service)
 	fresh := k.advance(now, service, v, f)
-	o, heard := v.order, v.heard
+	o, heard := v.order, v.writtenBy
 	k.mu.Unlock()
 	if fresh {
-		k.tellAll(service, o, heard, f)
+		k.broadcast(service, o, heard, f)
 	}
 }
--- a/entry/rolloutorders.go
+++ b/entry/rolloutorders.go
@@ -14,7 +14,7 @@
 
 // takeRows applies the operator's orders. If the rows are the whole table, an order that is missing
 // from them was withdrawn.
-func (k *rolloutKeeper) takeRows(now time.Time, rows []platform.Row, whole bool) {
+func (k *rolloutController) takeRows(now time.Time, rows []platform.Row, whole bool) {
 	there := make(map[string]bool)
 	for _, r := range rows {
 		service, ok := platform.RolloutService(r)
@@ -32,7 +32,7 @@
 			k.d.meters.refused(codeOf(err))
 			continue
 		}
-		k.order(now, now, o, rollout.Fact{})
+		k.applyOrder(now, now, o, rollout.Fact{})
 	}
 	if !whole {
 		return
@@ -45,10 +45,10 @@
 }
 
 // ordered returns the services that have an order.
-func (k *rolloutKeeper) ordered() (out []string) {
+func (k *rolloutController) ordered() (out []string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	for name, v := range k.known {
+	for name, v := range k.services {
 		if v.order.Number != 0 {
 			out = append(out, name)
 		}
@@ -57,14 +57,14 @@
 }
 
 // withdraw records that the operator has removed an order, and rolls it back unless it has ended.
-func (k *rolloutKeeper) withdraw(service string) {
+func (k *rolloutController) withdraw(service string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	v := k.known[service]
-	if v == nil || v.order.Number == 0 || v.gone {
+	v := k.services[service]
+	if v == nil || v.order.Number == 0 || v.withdrawn {
 		return
 	}
-	v.gone = true
+	v.withdrawn = true
 	if v.running() {
 		f := v.fact
 		f.Stage, f.Why = rollout.RolledBack, "withdrawn"
--- a/entry/rolloutreports.go
+++ b/entry/rolloutreports.go
@@ -19,28 +19,28 @@
 	Own   []string      `codec:"w,omitempty"` // the service's own versions before the order
 }
 
-// endedFor is how long daemons repeat the report of an ended order. A daemon counts as reached 4 s
+// endedReportTime is how long daemons repeat the report of an ended order. A daemon counts as reached 4 s
 // after a partition ends; one that starts gets the report with the configuration.
-const endedFor = 30 * time.Second
+const endedReportTime = 30 * time.Second
 
 // words returns reports of all orders, or only of those that daemons still repeat.
-func (k *rolloutKeeper) words(now time.Time, all bool) (out []orderWord) {
+func (k *rolloutController) words(now time.Time, all bool) (out []orderWord) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	for _, v := range k.known {
-		if v.order.Number == 0 || !all && !v.running() && now.Sub(v.since) > endedFor {
+	for _, v := range k.services {
+		if v.order.Number == 0 || !all && !v.running() && now.Sub(v.stageSince) > endedReportTime {
 			continue
 		}
-		out = append(out, orderWord{v.order, now.Sub(v.heard), v.fact, v.own})
+		out = append(out, orderWord{v.order, now.Sub(v.writtenBy), v.fact, v.own})
 	}
 	return out
 }
 
-// again sends the progress of orders to other daemons each second: a daemon that missed a roll-back
+// sendReports sends the progress of orders to other daemons each second: a daemon that missed a roll-back
 // learns of it, and one that gets no report sends nothing to a version on trial. In a large fleet the
 // readers send to each other, and the rest get reports with each answer of a reader: sending to all
 // neighbours cost each of 78 daemons 4.6 KB/s during two roll-outs.
-func (k *rolloutKeeper) again(now time.Time) {
+func (k *rolloutController) sendReports(now time.Time) {
 	words := k.words(now, false)
 	switch {
 	case len(words) == 0:
@@ -51,14 +51,14 @@
 	}
 }
 
-// tellAll broadcasts the progress of an order.
-func (k *rolloutKeeper) tellAll(service string, o rollout.Order, heard time.Time, f rollout.Fact) {
+// broadcast sends the progress of an order to all daemons.
+func (k *rolloutController) broadcast(service string, o rollout.Order, heard time.Time, f rollout.Fact) {
 	o.Service = service
 	k.d.Hub.Tell(conn.Payload{Orders: conn.Marshal([]orderWord{{Order: o, Age: clock.Now().Sub(heard), Fact: f}})})
 }
 
-// take decodes and applies the reports of another daemon.
-func (k *rolloutKeeper) take(now time.Time, from string, b []byte) {
+// receive decodes and applies the reports of another daemon.
+func (k *rolloutController) receive(now time.Time, from string, b []byte) {
 	if len(b) == 0 {
 		return
 	}
@@ -67,24 +67,24 @@
 		k.d.log.WithField("part", "rollout").Warnf("order reports of %s: %v", from, err)
 		return
 	}
-	k.hear(now, now, words)
+	k.applyReports(now, now, words)
 }
 
-// hear applies reports that were sent at the given time.
-func (k *rolloutKeeper) hear(now, sent time.Time, words []orderWord) {
+// applyReports applies reports that were sent at the given time.
+func (k *rolloutController) applyReports(now, sent time.Time, words []orderWord) {
 	for _, w := range words {
 		k.adoptOwn(w)
-		k.order(now, sent.Add(-w.Age), w.Order, w.Fact)
+		k.applyOrder(now, sent.Add(-w.Age), w.Order, w.Fact)
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.word = now
+	k.lastReport = now
 }
 
 // hearAll applies the full set of orders that another daemon knew at a version of the store. An order
 // known here that is not newer than that version and not among them was withdrawn.
-func (k *rolloutKeeper) hearAll(sent time.Time, at int64, words []orderWord) {
-	k.hear(clock.Now(), sent, words)
+func (k *rolloutController) hearAll(sent time.Time, at int64, words []orderWord) {
+	k.applyReports(clock.Now(), sent, words)
 	there := make(map[string]bool)
 	for _, w := range words {
 		there[w.Order.Service] = true
@@ -97,18 +97,18 @@
 }
 
 // orderedBefore reports whether a service's order is not newer than a version of the store.
-func (k *rolloutKeeper) orderedBefore(service string, at int64) bool {
+func (k *rolloutController) orderedBefore(service string, at int64) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.of(service).order.Number <= at
+	return k.lookup(service).order.Number <= at
 }
 
 // adoptOwn takes a service's own versions from a daemon that knows them. A daemon that starts during
 // a roll-out cannot tell them from the new version.
-func (k *rolloutKeeper) adoptOwn(w orderWord) {
+func (k *rolloutController) adoptOwn(w orderWord) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if v := k.of(w.Order.Service); v.own == nil {
+	if v := k.lookup(w.Order.Service); v.own == nil {
 		v.own = w.Own
 	}
 }
--- a/entry/rollouts.go
+++ b/entry/rollouts.go
@@ -16,51 +16,51 @@
 )
 
 const (
-	// judgePeriod is how often the results of a version on trial are evaluated. The counts of other
+	// evaluationPeriod is how often the results of a version on trial are evaluated. The counts of other
 	// daemons arrive every 150 to 450 ms.
-	judgePeriod = 250 * time.Millisecond
-	// findingPause is the minimum time between two log lines of an unchanged finding.
-	findingPause = 2 * time.Second
-	// orderLife is the maximum age of the last order report from another daemon for requests to go
+	evaluationPeriod = 250 * time.Millisecond
+	// findingLogPeriod is the minimum time between two log lines of an unchanged finding.
+	findingLogPeriod = 2 * time.Second
+	// maxReportAge is the maximum age of the last order report from another daemon for requests to go
 	// to a version on trial. Reports arrive each second, and a version must get no request later
 	// than 5 s after its 50th bad answer.
-	orderLife = 2500 * time.Millisecond
-	// trialLeast is the minimum number of endpoints used by a version on trial, so that one faulty
+	maxReportAge = 2500 * time.Millisecond
+	// minTrialEndpoints is the minimum number of endpoints used by a version on trial, so that one faulty
 	// endpoint is not taken for a faulty version.
-	trialLeast = 2
+	minTrialEndpoints = 2
 )
 
-// rolloutKeeper tracks, for each service, the versions that may get requests and the progress of an
+// rolloutController tracks, for each service, the versions that may get requests and the progress of an
 // order to move it to another version. It implements request.Trials.
-type rolloutKeeper struct {
+type rolloutController struct {
 	d      *Daemon
 	active atomic.Int32 // number of running orders; while it is 0, requests skip the lock
 
-	mu    sync.Mutex
-	known map[string]*serviceVersions
-	word  time.Time // when the last report from another daemon arrived
-	kept  []int64   // orders whose results the tallies still hold
+	mu         sync.Mutex
+	services   map[string]*serviceVersions
+	lastReport time.Time // when the last report from another daemon arrived
+	tallied    []int64   // orders whose results the tallies still hold
 }
 
 // serviceVersions holds a service's own versions and the state of its roll-out. The fields of the
 // roll-out are empty while there is no order.
 type serviceVersions struct {
-	own     []string // found among the endpoints, or set by a completed order; nil while unknown
-	order   rollout.Order
-	heard   time.Time // upper bound on when the order was written
-	fact    rollout.Fact
-	since   time.Time // when this daemon saw the current stage begin
-	gone    bool      // the order was withdrawn; fact may not show it yet
-	share   *rollout.Bucket
-	test    *rollout.Voices
-	finding rollout.Finding
-	logged  time.Time // when the finding was last logged
-	idle    time.Time // since when the old version has had no requests; zero while it has some
-	usual   map[string]*usualTime
+	own        []string // found among the endpoints, or set by a completed order; nil while unknown
+	order      rollout.Order
+	writtenBy  time.Time // upper bound on when the order was written
+	fact       rollout.Fact
+	stageSince time.Time // when this daemon saw the current stage begin
+	withdrawn  bool      // the order was withdrawn; fact may not show it yet
+	bucket     *rollout.Bucket
+	evidence   *rollout.Voices
+	finding    rollout.Finding
+	logged     time.Time // when the finding was last logged
+	idleSince  time.Time // since when the old version has had no requests; zero while it has some
+	baselines  map[string]*latencyBaseline
 }
 
-func newRolloutKeeper(d *Daemon) rolloutKeeper {
-	return rolloutKeeper{d: d, known: make(map[string]*serviceVersions)}
+func newRolloutController(d *Daemon) rolloutController {
+	return rolloutController{d: d, services: make(map[string]*serviceVersions)}
 }
 
 // running reports whether an order has not ended.
@@ -71,71 +71,71 @@
 }
 
 func (v *serviceVersions) span() rollout.Span {
-	return rollout.Span{Stage: v.fact.Stage, Deadline: v.heard.Add(v.order.For)}
+	return rollout.Span{Stage: v.fact.Stage, Deadline: v.writtenBy.Add(v.order.For)}
 }
 
-// of returns the state of a service, and creates it if needed. The caller holds the lock.
-func (k *rolloutKeeper) of(service string) *serviceVersions {
-	v := k.known[service]
+// lookup returns the state of a service, and creates it if needed. The caller holds the lock.
+func (k *rolloutController) lookup(service string) *serviceVersions {
+	v := k.services[service]
 	if v == nil {
 		v = &serviceVersions{}
-		k.known[service] = v
+		k.services[service] = v
 	}
 	return v
 }
 
 // Take implements request.Trials.
-func (k *rolloutKeeper) Take(now time.Time, a request.TrialAsk) bool {
+func (k *rolloutController) Take(now time.Time, a request.TrialAsk) bool {
 	if k.active.Load() == 0 {
 		return false
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	v := k.known[a.Service]
-	return v != nil && v.running() && v.share.Take(now, v.span(), a.Ask) && k.current(now)
+	v := k.services[a.Service]
+	return v != nil && v.running() && v.bucket.Take(now, v.span(), a.Ask) && k.current(now)
 }
 
 // Return implements request.Trials.
-func (k *rolloutKeeper) Return(a request.TrialAsk) {
+func (k *rolloutController) Return(a request.TrialAsk) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if v := k.known[a.Service]; v != nil && v.share != nil {
-		v.share.Return(a.Ask)
+	if v := k.services[a.Service]; v != nil && v.bucket != nil {
+		v.bucket.Return(a.Ask)
 	}
 }
 
 // Unsent implements request.Trials.
-func (k *rolloutKeeper) Unsent(a request.TrialAsk) {
+func (k *rolloutController) Unsent(a request.TrialAsk) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if v := k.known[a.Service]; v != nil && v.running() {
-		v.share.Unsent(a.Ask)
+	if v := k.services[a.Service]; v != nil && v.running() {
+		v.bucket.Unsent(a.Ask)
 	}
 }
 
 // Still implements request.Trials.
-func (k *rolloutKeeper) Still(now time.Time, service string) bool {
+func (k *rolloutController) Still(now time.Time, service string) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	v := k.known[service]
+	v := k.services[service]
 	return v != nil && (v.fact.Stage == rollout.Watching || v.fact.Stage == rollout.Shifting) && k.current(now)
 }
 
 // current reports whether this daemon would know of a roll-back: other daemons have reported
 // recently, or there are none. The caller holds the lock.
-func (k *rolloutKeeper) current(now time.Time) bool {
+func (k *rolloutController) current(now time.Time) bool {
 	f := k.d.fleet()
-	return f.Counted && f.Known < 2 || now.Sub(k.word) < orderLife
+	return f.Counted && f.Known < 2 || now.Sub(k.lastReport) < maxReportAge
 }
 
 // Note implements request.Trials.
-func (k *rolloutKeeper) Note(now time.Time, a request.TrialAnswer) {
+func (k *rolloutController) Note(now time.Time, a request.TrialAnswer) {
 	if k.active.Load() == 0 {
 		return
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	v := k.known[a.Service]
+	v := k.services[a.Service]
 	if v == nil || !v.running() {
 		return
 	}
@@ -153,15 +153,15 @@
 	k.d.meters.tried(a.Service, side, t)
 }
 
-// order applies an order that was written no later than the given time, with its progress as known
+// applyOrder applies an order that was written no later than the given time, with its progress as known
 // to the sender.
-func (k *rolloutKeeper) order(now, written time.Time, o rollout.Order, fact rollout.Fact) {
+func (k *rolloutController) applyOrder(now, written time.Time, o rollout.Order, fact rollout.Fact) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	v := k.of(o.Service)
+	v := k.lookup(o.Service)
 	if o.Number == v.order.Number {
-		if written.Before(v.heard) {
-			v.heard = written
+		if written.Before(v.writtenBy) {
+			v.writtenBy = written
 		}
 		k.advance(now, o.Service, v, fact)
 		return
@@ -173,10 +173,10 @@
 		v.own = []string{v.fact.Target}
 	}
 	cap := k.d.Site().Bounds.Untried
-	v.order, v.heard, v.gone, v.since = o, written, false, now
+	v.order, v.writtenBy, v.withdrawn, v.stageSince = o, written, false, now
 	v.fact = rollout.Fact{Number: o.Number, Target: o.Target}
-	v.share, v.test = &rollout.Bucket{Cap: cap, Lead: k.lead()}, &rollout.Voices{}
-	v.finding, v.logged, v.idle, v.usual = rollout.Finding{}, time.Time{}, time.Time{}, nil
+	v.bucket, v.evidence = &rollout.Bucket{Cap: cap, Lead: k.initialLevel()}, &rollout.Voices{}
+	v.finding, v.logged, v.idleSince, v.baselines = rollout.Finding{}, time.Time{}, time.Time{}, nil
 	k.d.log.WithFields(logrus.Fields{
 		"part": "rollout", "service": o.Service, "target": o.Target, "order": o.Number, "for_ms": o.For.Milliseconds(),
 		"age_ms": now.Sub(written).Milliseconds(), "own": v.own,
@@ -185,30 +185,30 @@
 	k.apply(o.Service, v)
 }
 
-// lead returns the initial level, from 0 to 1, of this daemon's bucket for requests to an untried
+// initialLevel returns the initial level, from 0 to 1, of this daemon's bucket for requests to an untried
 // version.
-func (k *rolloutKeeper) lead() float64 {
+func (k *rolloutController) initialLevel() float64 {
 	return float64(daemonNumber(k.d.Self.Name)) / float64(math.MaxUint32+1)
 }
 
-// learn applies the progress of an order, and reports whether the stage changed.
-func (k *rolloutKeeper) learn(now time.Time, service string, f rollout.Fact) bool {
+// applyFact applies the progress of an order, and reports whether the stage changed.
+func (k *rolloutController) applyFact(now time.Time, service string, f rollout.Fact) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.advance(now, service, k.of(service), f)
+	return k.advance(now, service, k.lookup(service), f)
 }
 
 // advance merges a fact and applies a change of stage. The caller holds the lock.
-func (k *rolloutKeeper) advance(now time.Time, service string, v *serviceVersions, f rollout.Fact) bool {
+func (k *rolloutController) advance(now time.Time, service string, v *serviceVersions, f rollout.Fact) bool {
 	next := v.fact.Merge(f)
 	if f.Number != v.order.Number || next.Stage == v.fact.Stage {
 		return false
 	}
 	k.d.log.WithFields(logrus.Fields{
 		"part": "rollout", "service": service, "target": f.Target, "order": f.Number, "stage": next.Stage.String(),
-		"before": v.fact.Stage.String(), "after_ms": now.Sub(v.heard).Milliseconds(), "why": next.Why,
+		"before": v.fact.Stage.String(), "after_ms": now.Sub(v.writtenBy).Milliseconds(), "why": next.Why,
 	}).Info("order has moved on")
-	v.fact, v.since = next, now
+	v.fact, v.stageSince = next, now
 	if next.Stage == rollout.Completed {
 		v.own = []string{next.Target}
 	}
@@ -217,30 +217,31 @@
 }
 
 // apply updates the roles of the service's endpoints. The caller holds the lock.
-func (k *rolloutKeeper) apply(service string, v *serviceVersions) {
+func (k *rolloutController) apply(service string, v *serviceVersions) {
 	running := int32(0)
-	for _, x := range k.known {
+	for _, x := range k.services {
 		if x.running() {
 			running++
 		}
 	}
 	k.active.Store(running)
 	pool := k.d.work(service).Pool
-	pool.Rule(v.standing(), v.used(pool))
+	pool.Rule(v.standing(), v.activeEndpoints(pool))
 }
 
-// used returns how many endpoints of a version on trial take requests, or 0 for all. With only a few,
-// each gets as many requests as an endpoint of the old version, so that the results also cover load.
-func (v *serviceVersions) used(pool *request.Pool) int {
+// activeEndpoints returns how many endpoints of a version on trial take requests, or 0 for all. With
+// only a few, each gets as many requests as an endpoint of the old version, so that the results also
+// cover load.
+func (v *serviceVersions) activeEndpoints(pool *request.Pool) int {
 	if v.fact.Stage != rollout.Watching {
 		return 0
 	}
 	old := pool.Ready(rollout.Own)
-	return max(trialLeast, int(math.Ceil(v.share.Cap.Share*float64(old))))
+	return max(minTrialEndpoints, int(math.Ceil(v.bucket.Cap.Share*float64(old))))
 }
 
 // tick updates the state that changes with time alone.
-func (k *rolloutKeeper) tick(now time.Time) {
+func (k *rolloutController) tick(now time.Time) {
 	c := k.d.catalog.get()
 	if c == nil || !k.d.runners.known() {
 		return
@@ -248,7 +249,7 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for name := range c.Backend {
-		v := k.of(name)
+		v := k.lookup(name)
 		pool := k.d.work(name).Pool
 		if v.own == nil {
 			found := pool.Versions()
@@ -264,7 +265,7 @@
 		}
 		if v.running() {
 			k.apply(name, v)
-			k.noteIdle(now, name, v)
+			k.trackIdle(now, name, v)
 		}
 	}
 	k.forget(now)
@@ -272,76 +273,76 @@
 
 // forget drops the results of ended orders from the tallies, which are sent to other daemons
 // repeatedly. The caller holds the lock.
-func (k *rolloutKeeper) forget(now time.Time) {
+func (k *rolloutController) forget(now time.Time) {
 	var keep []int64
-	for _, v := range k.known {
-		if v.running() || v.order.Number != 0 && now.Sub(v.since) < endedFor {
+	for _, v := range k.services {
+		if v.running() || v.order.Number != 0 && now.Sub(v.stageSince) < endedReportTime {
 			keep = append(keep, v.order.Number)
 		}
 	}
 	slices.Sort(keep)
-	if !slices.Equal(keep, k.kept) {
+	if !slices.Equal(keep, k.tallied) {
 		k.d.tallies.DropTrials(keep)
-		k.kept = keep
+		k.tallied = keep
 	}
 }
 
-// noteIdle tracks since when no daemon has a request at the old version.
-func (k *rolloutKeeper) noteIdle(now time.Time, name string, v *serviceVersions) {
-	busy := k.d.tallies.Running(now, oldKey(k.d.work(name).Pool.Service))
+// trackIdle tracks since when no daemon has a request at the old version.
+func (k *rolloutController) trackIdle(now time.Time, name string, v *serviceVersions) {
+	busy := k.d.tallies.Running(now, oldVersionKey(k.d.work(name).Pool.Service))
 	switch {
 	case busy > 0:
-		v.idle = time.Time{}
-	case v.idle.IsZero():
-		v.idle = now
+		v.idleSince = time.Time{}
+	case v.idleSince.IsZero():
+		v.idleSince = now
 	}
 }
 
-// oldKey returns the key under which daemons count running requests at a service's old version.
-func oldKey(service string) string { return service + "@old" }
+// oldVersionKey returns the key under which daemons count running requests at a service's old version.
+func oldVersionKey(service string) string { return service + "@old" }
 
 // countOld adds this daemon's running requests at the old versions of services being rolled out.
-func (k *rolloutKeeper) countOld(running map[string]int) {
+func (k *rolloutController) countOld(running map[string]int) {
 	if k.active.Load() == 0 {
 		return
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	for name, v := range k.known {
+	for name, v := range k.services {
 		if !v.running() {
 			continue
 		}
 		pool := k.d.work(name).Pool
 		if n := pool.InFlightAt(rollout.Own); n > 0 {
-			running[oldKey(pool.Service)] = n
+			running[oldVersionKey(pool.Service)] = n
 		}
 	}
 }
 
-// holdsEndpoints reports whether a service must not be scaled down: during a roll-out it is unknown
+// blocksScaleDown reports whether a service must not be scaled down: during a roll-out it is unknown
 // which of the two versions would lose the endpoints.
-func (k *rolloutKeeper) holdsEndpoints(service string) bool {
+func (k *rolloutController) blocksScaleDown(service string) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	v := k.known[service]
+	v := k.services[service]
 	return v != nil && v.running()
 }
 
-// judge evaluates the results of the versions on trial, and rolls back the bad ones. This needs
+// evaluate checks the results of the versions on trial, and rolls back the bad ones. This needs
 // neither the store nor the lease holder.
-func (k *rolloutKeeper) judge(now time.Time) {
+func (k *rolloutController) evaluate(now time.Time) {
 	if k.active.Load() == 0 || k.d.many() && !k.d.isReader() {
 		return
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	for name, v := range k.known {
+	for name, v := range k.services {
 		if !v.running() {
 			continue
 		}
 		before := v.finding.Opinion
-		v.finding = v.test.Take(now, k.d.tallies.Trials(v.order.Number))
-		if v.finding.Opinion != before || now.Sub(v.logged) >= findingPause {
+		v.finding = v.evidence.Take(now, k.d.tallies.Trials(v.order.Number))
+		if v.finding.Opinion != before || now.Sub(v.logged) >= findingLogPeriod {
 			v.logged = now
 			k.d.log.WithFields(logrus.Fields{
 				"part": "rollout", "service": name, "order": v.order.Number, "opinion": v.finding.Opinion.String(), "why": v.finding.Reason(),
@@ -354,7 +355,7 @@
 		f.Stage, f.Why = rollout.RolledBack, v.finding.Reason()
 		k.d.log.WithFields(logrus.Fields{"part": "rollout", "service": name, "target": f.Target, "order": f.Number}).Warnf("version is bad: %s", f.Why)
 		if k.advance(now, name, v, f) {
-			go k.tellAll(name, v.order, v.heard, f)
+			go k.broadcast(name, v.order, v.writtenBy, f)
 		}
 	}
 }
--- a/entry/scale.go
+++ b/entry/scale.go
@@ -24,29 +24,31 @@
 const (
 	// scaleTable is the store table with the initial endpoint count of each service and zone.
 	scaleTable = "streambend-scale"
-	// orderAgain is how long an accepted order may take effect before it is sent again.
-	orderAgain = 6 * time.Second
-	// dryProbe is the backoff after the first refused order. A call costs as much as 0.05 s of an
+	// reorderPeriod is how long an accepted order may take effect before it is sent again.
+	reorderPeriod = 6 * time.Second
+	// minRefusalBackoff is the backoff after the first refused order. A call costs as much as 0.05 s of an
 	// on-demand endpoint; with a backoff of 5 s, ten on-demand endpoints replaced reclaimable ones
 	// for 5 s longer than needed.
-	dryProbe = time.Second
-	// dryGrowth is the factor by which the backoff grows with each consecutive refusal, up to dryMost.
-	dryGrowth = 1.1
-	dryMost   = 5 * time.Second
-	// countBeats is the minimum time, in heartbeats, from the first list of endpoints until they are
-	// counted: when endpoints and daemons start together, the last endpoint registered 2.4 heartbeats
-	// after that list. The count is put off while more than lateShare of the endpoints were found in
-	// the last quietBeats (in a large fleet, 70 of 90 were found after 2.7), but not beyond countMost.
-	countBeats = 2.7
-	quietBeats = 0.5
-	lateShare  = 0.1
-	countMost  = 4.5
+	minRefusalBackoff = time.Second
+	// refusalBackoffFactor is the factor by which the backoff grows with each consecutive refusal, up
+	// to maxRefusalBackoff.
+	refusalBackoffFactor = 1.1
+	maxRefusalBackoff    = 5 * time.Second
+	// minCountHeartbeats is the minimum time, in heartbeats, from the first list of endpoints until
+	// they are counted: when endpoints and daemons start together, the last endpoint registered 2.4
+	// heartbeats after that list. The count is put off while more than maxRecentShare of the endpoints
+	// were found in the last recentHeartbeats (in a large fleet, 70 of 90 were found after 2.7), but
+	// not beyond maxCountHeartbeats.
+	minCountHeartbeats = 2.7
+	recentHeartbeats   = 0.5
+	maxRecentShare     = 0.1
+	maxCountHeartbeats = 4.5
 	// servingAfter is how long after it was listed an endpoint is assumed to serve, even if it has
 	// not answered a request of this daemon.
 	servingAfter = 3 * time.Second
-	// noQueueUse is the target utilization, as the share of time that endpoints read prompts, when
-	// the queueing model is switched off.
-	noQueueUse = 0.55
+	// targetUtilization is the share of time that endpoints may spend reading prompts when the
+	// queueing model is switched off.
+	targetUtilization = 0.55
 )
 
 // scaleDuty orders endpoints from the cloud API.
@@ -56,25 +58,25 @@
 	demand map[string]*capacity.Demand // by service; every daemon tracks it, for when it takes the lease
 }
 
-// drySpell is the backoff for a kind of endpoint whose orders are refused.
-type drySpell struct {
+// refusalBackoff is the backoff for a kind of endpoint whose orders are refused.
+type refusalBackoff struct {
 	until time.Time     // the earliest time of the next order
 	pause time.Duration // the length of the current backoff
 }
 
 // serviceScale is the lease holder's record of its own orders for a service.
 type serviceScale struct {
-	base    map[string]int
-	ordered map[capacity.Kind]scaleOrdered
-	dry     map[capacity.Kind]drySpell
-	hold    capacity.Hold
-	live    map[capacity.Kind]int // in the previous step
-	planned string                // the last plan logged
+	initial  map[string]int
+	ordered  map[capacity.Kind]acceptedOrder
+	refusals map[capacity.Kind]refusalBackoff
+	hold     capacity.Hold
+	live     map[capacity.Kind]int // in the previous step
+	lastPlan string                // the last plan logged
 }
 
 // refused reports whether endpoints are in backoff in some zone.
 func (s *serviceScale) refused(reclaimable bool) bool {
-	for k := range s.dry {
+	for k := range s.refusals {
 		if k.Reclaimable == reclaimable {
 			return true
 		}
@@ -82,13 +84,13 @@
 	return false
 }
 
-// had ends the backoff in all zones after an order was accepted, so that they are tried again at once.
-func (s *serviceScale) had(reclaimable bool) {
-	maps.DeleteFunc(s.dry, func(k capacity.Kind, _ drySpell) bool { return k.Reclaimable == reclaimable })
+// endBackoff ends the backoff in all zones after an order was accepted, so that they are tried again at once.
+func (s *serviceScale) endBackoff(reclaimable bool) {
+	maps.DeleteFunc(s.refusals, func(k capacity.Kind, _ refusalBackoff) bool { return k.Reclaimable == reclaimable })
 }
 
-// scaleOrdered is the last accepted order for a kind of endpoint.
-type scaleOrdered struct {
+// acceptedOrder is the last accepted order for a kind of endpoint.
+type acceptedOrder struct {
 	count int
 	at    time.Time
 }
@@ -130,7 +132,7 @@
 	}
 	for _, name := range slices.Sorted(maps.Keys(c.Backend)) {
 		b := c.Backend[name]
-		if b.Scaling != nil && (x.early(b.Name) || x.countable(clock.Now())) {
+		if b.Scaling != nil && (x.startsEarly(b.Name) || x.countable(clock.Now())) {
 			x.service(ctx, u, b)
 		}
 	}
@@ -139,13 +141,13 @@
 // countable reports whether all endpoints that existed at the start have probably been found.
 func (x *scaleDuty) countable(now time.Time) bool {
 	beats := func(n float64) time.Duration { return time.Duration(n * float64(x.d.Site().Bounds.Heartbeat)) }
-	read, late := x.d.runners.knownFor(now, beats(quietBeats))
-	return read >= beats(countBeats) && (late <= lateShare || read >= beats(countMost))
+	read, late := x.d.runners.knownFor(now, beats(recentHeartbeats))
+	return read >= beats(minCountHeartbeats) && (late <= maxRecentShare || read >= beats(maxCountHeartbeats))
 }
 
-// early reports whether orders for a service may be sent before its endpoints can be counted,
+// startsEarly reports whether orders for a service may be sent before its endpoints can be counted,
 // because the whole system starts for the first time.
-func (x *scaleDuty) early(service string) bool {
+func (x *scaleDuty) startsEarly(service string) bool {
 	w := x.demand[service]
 	return x.d.without.On(mechanism.EarlyStart) && x.d.Site().First && w != nil && !w.Seen
 }
@@ -155,21 +157,21 @@
 	live, serving := x.count(clock.Now(), b.Name)
 	s := x.state[b.Name]
 	if s == nil {
-		base, err := x.base(ctx, b.Name, live)
+		base, err := x.initialCounts(ctx, b.Name, live)
 		if err != nil {
 			x.d.log.WithFields(logrus.Fields{"part": "scale", "service": b.Name}).Warnf("initial endpoint counts not read: %v", err)
 			return
 		}
-		s = &serviceScale{base: base, ordered: make(map[capacity.Kind]scaleOrdered), dry: make(map[capacity.Kind]drySpell)}
+		s = &serviceScale{initial: base, ordered: make(map[capacity.Kind]acceptedOrder), refusals: make(map[capacity.Kind]refusalBackoff)}
 		x.state[b.Name] = s
 	}
 	now := clock.Now()
-	s.forgetLost(live)
+	s.dropLostOrders(live)
 	for _, o := range x.plan(now, b, s, live, serving) {
-		if !s.due(now, o, live[o.Kind]) || x.d.rollouts.holdsEndpoints(b.Name) && o.Count < max(live[o.Kind], s.ordered[o.Kind].count) {
+		if !s.due(now, o, live[o.Kind]) || x.d.rollouts.blocksScaleDown(b.Name) && o.Count < max(live[o.Kind], s.ordered[o.Kind].count) {
 			continue
 		}
-		if err := x.order(ctx, u, b.Name, s, o, live[o.Kind]); errors.Is(err, errNoLease) {
+		if err := x.sendOrder(ctx, u, b.Name, s, o, live[o.Kind]); errors.Is(err, errNoLease) {
 			return
 		}
 	}
@@ -191,9 +193,9 @@
 	}
 	on := x.d.without.On
 	state := capacity.State{
-		Limits: capacity.Limits(*b.Scaling), Found: s.base,
+		Limits: capacity.Limits(*b.Scaling), Found: s.initial,
 		Live: live, Serving: serving, Coming: coming, Enough: -1,
-		Dry: s.refused(true), Idle: !w.Seen && x.d.Site().First, Early: x.early(b.Name),
+		Dry: s.refused(true), Idle: !w.Seen && x.d.Site().First, Early: x.startsEarly(b.Name),
 		NoPrice: !on(mechanism.SpareByPrice), NoHold: !on(mechanism.MakeBeforeBreak),
 	}
 	load := x.load(b, w)
@@ -204,8 +206,8 @@
 	if w.Seen && on(mechanism.ScaleHold) {
 		plan = s.hold.Settle(now, plan, have)
 	}
-	if text := fmt.Sprint(plan); text != s.planned {
-		s.planned = text
+	if text := fmt.Sprint(plan); text != s.lastPlan {
+		s.lastPlan = text
 		x.d.log.WithFields(logrus.Fields{
 			"part": "scale", "service": b.Name, "enough": state.Enough, "busy": load.Busy, "places": load.Places, "read_ms": load.Read.Milliseconds(), "spread": load.Spread,
 			"live": sum(state.Live), "serving": sum(state.Serving), "coming": sum(coming), "dry": state.Dry, "plan": text,
@@ -233,7 +235,7 @@
 		l.Target = c.ShortestTarget(b.Name)
 	}
 	if !x.d.without.On(mechanism.QueueModel) {
-		l = capacity.Load{Busy: l.Busy / noQueueUse, Places: l.Places}
+		l = capacity.Load{Busy: l.Busy / targetUtilization, Places: l.Places}
 	}
 	return l
 }
@@ -245,9 +247,9 @@
 	return n
 }
 
-// forgetLost drops the orders of zones that have just lost all their endpoints, so that they are
+// dropLostOrders drops the orders of zones that have just lost all their endpoints, so that they are
 // ordered again at once: a refusal shows early that none are available.
-func (s *serviceScale) forgetLost(live map[capacity.Kind]int) {
+func (s *serviceScale) dropLostOrders(live map[capacity.Kind]int) {
 	for k := range s.live {
 		if live[k] == 0 && s.live[k] > 0 {
 			delete(s.ordered, k)
@@ -258,7 +260,7 @@
 
 // due reports whether an order has to be sent now.
 func (s *serviceScale) due(now time.Time, o capacity.Order, live int) bool {
-	if more := o.Count > live; more && now.Before(s.dry[o.Kind].until) {
+	if more := o.Count > live; more && now.Before(s.refusals[o.Kind].until) {
 		return false
 	}
 	last, ok := s.ordered[o.Kind]
@@ -268,11 +270,11 @@
 	if last.count != o.Count {
 		return true
 	}
-	return live != o.Count && now.Sub(last.at) >= orderAgain
+	return live != o.Count && now.Sub(last.at) >= reorderPeriod
 }
 
-// order sends an order to the cloud API and records the result.
-func (x *scaleDuty) order(ctx context.Context, u *duties, service string, s *serviceScale, o capacity.Order, live int) error {
+// sendOrder sends an order to the cloud API and records the result.
+func (x *scaleDuty) sendOrder(ctx context.Context, u *duties, service string, s *serviceScale, o capacity.Order, live int) error {
 	fields := logrus.Fields{"part": "scale", "service": service, "zone": o.Zone, "reclaimable": o.Reclaimable, "count": o.Count}
 	err := u.call(ctx, func(ctx context.Context, f platform.Fence) error {
 		fields["fence"] = f.Token
@@ -283,16 +285,16 @@
 	}
 	now := clock.Now()
 	if err != nil {
-		pause := min(time.Duration(dryGrowth*float64(max(s.dry[o.Kind].pause, dryProbe))), dryMost)
-		s.dry[o.Kind] = drySpell{now.Add(pause), pause}
+		pause := min(time.Duration(refusalBackoffFactor*float64(max(s.refusals[o.Kind].pause, minRefusalBackoff))), maxRefusalBackoff)
+		s.refusals[o.Kind] = refusalBackoff{now.Add(pause), pause}
 		delete(s.ordered, o.Kind)
 		x.d.log.WithFields(fields).Infof("not ordered: %v", err)
 		return err
 	}
 	if o.Count > live {
-		s.had(o.Reclaimable)
+		s.endBackoff(o.Reclaimable)
 	}
-	s.ordered[o.Kind] = scaleOrdered{o.Count, now}
+	s.ordered[o.Kind] = acceptedOrder{o.Count, now}
 	x.d.log.WithFields(fields).Info("ordered")
 	return nil
 }
@@ -316,8 +318,8 @@
 	return live, serving
 }
 
-// base returns the service's initial endpoint count by zone. The first lease holder ever stores it.
-func (x *scaleDuty) base(ctx context.Context, service string, live map[capacity.Kind]int) (map[string]int, error) {
+// initialCounts returns the service's initial endpoint count by zone. The first lease holder ever stores it.
+func (x *scaleDuty) initialCounts(ctx context.Context, service string, live map[capacity.Kind]int) (map[string]int, error) {
 	ctx, cancel := context.WithTimeout(ctx, 2*answerLimit)
 	defer cancel()
 	rows, err := x.d.store.Rows(ctx, scaleTable, service, "")
