--- a/entry/catalog.go
+++ b/entry/catalog.go
@@ -16,17 +16,17 @@
 )
 
 const (
-	// catalogWait is the maximum long-poll wait for catalog changes where keys expire with the
+	// strictCatalogWait is the maximum long-poll wait for catalog changes where keys expire with the
 	// catalog's age. Each answer renews the catalog, so at the start of an outage of the store up to
 	// this much of the bound on revoked keys is already used.
-	catalogWait = 500 * time.Millisecond
-	// patientWait is the maximum wait otherwise. A change is answered at once either way; the wait
+	strictCatalogWait = 500 * time.Millisecond
+	// relaxedCatalogWait is the maximum wait otherwise. A change is answered at once either way; the wait
 	// only bounds how late a silent connection is noticed. With the shorter wait, half of the calls
 	// for the catalog returned nothing new.
-	patientWait = time.Second
-	// answerLimit is the timeout of a call to the store that does not wait for changes. The adapter
+	relaxedCatalogWait = time.Second
+	// storeCallTimeout is the timeout of a call to the store that does not wait for changes. The adapter
 	// bounds the answers of feeds and lists by their progress.
-	answerLimit = 700 * time.Millisecond
+	storeCallTimeout = 700 * time.Millisecond
 	// firstPause and lastPause are the minimum and maximum backoff after a failed call.
 	firstPause = 50 * time.Millisecond
 	lastPause  = 400 * time.Millisecond
@@ -51,8 +51,8 @@
 	value   []byte
 }
 
-// catalogKeeper holds the catalog in force, which is the newest one known.
-type catalogKeeper struct {
+// catalogTracker holds the catalog in force, which is the newest one known.
+type catalogTracker struct {
 	d     *Daemon
 	fresh Freshness
 	cur   atomic.Pointer[inForce]
@@ -62,7 +62,7 @@
 
 // readTo records that the catalog in force is the newest up to a store version. If this daemon starts
 // to read the store itself, it continues from there.
-func (k *catalogKeeper) readTo(version int64) {
+func (k *catalogTracker) readTo(version int64) {
 	for {
 		old := k.at.Load()
 		if old >= version || k.at.CompareAndSwap(old, version) {
@@ -72,7 +72,7 @@
 }
 
 // get returns the catalog in force, or nil if there is none yet.
-func (k *catalogKeeper) get() *version.Catalog {
+func (k *catalogTracker) get() *version.Catalog {
 	if f := k.cur.Load(); f != nil {
 		return f.catalog
 	}
@@ -80,7 +80,7 @@
 }
 
 // adopt puts a catalog in force if it is newer than the current one.
-func (k *catalogKeeper) adopt(value []byte, source string) error {
+func (k *catalogTracker) adopt(value []byte, source string) error {
 	c, err := platform.ReadCatalog(value)
 	if err != nil {
 		return err
@@ -103,10 +103,10 @@
 }
 
 // wait returns how long the store may hold the next long poll.
-func (k *catalogKeeper) wait() time.Duration {
-	most := patientWait
+func (k *catalogTracker) wait() time.Duration {
+	most := relaxedCatalogWait
 	if k.d.Site().Bounds.StrictRevocation || !k.d.without.On(mechanism.PatientFeed) {
-		most = catalogWait
+		most = strictCatalogWait
 	}
 	if age, ok := k.fresh.Age(clock.Now()); ok {
 		return FeedWait(age, k.d.Site().Bounds.Configuration, most)
@@ -115,7 +115,7 @@
 }
 
 // follow reads the changes of the catalog's table until ctx ends.
-func (k *catalogKeeper) follow(ctx context.Context) {
+func (k *catalogTracker) follow(ctx context.Context) {
 	f := feeder{d: k.d, table: platform.CatalogTable, wait: k.wait, name: "catalog"}
 	f.run(ctx, k.at.Load, func(now, sent time.Time, p platform.Page, whole bool) error {
 		k.d.rollouts.takeRows(now, p.Rows, whole)
@@ -135,7 +135,7 @@
 }
 
 // empty reports whether the store was recently known to hold no configuration.
-func (k *catalogKeeper) empty(now time.Time) bool {
+func (k *catalogTracker) empty(now time.Time) bool {
 	age, ok := k.none.Age(now)
 	return ok && age < emptyLife
 }
--- a/entry/daemon.go
+++ b/entry/daemon.go
@@ -23,14 +23,14 @@
 )
 
 const (
-	// headerWait and idleWait bound the cost of a silent caller. They exceed the times that catalogs
+	// headerTimeout and idleTimeout bound the cost of a silent caller. They exceed the times that catalogs
 	// name, since a caller may use what the catalog allows.
-	headerWait = 10 * time.Second
-	idleWait   = time.Minute
-	// dialLimit is the timeout of a dial within the partner's zones.
-	dialLimit = 400 * time.Millisecond
-	// silentLimit is how long sent bytes may stay unacknowledged before the connection is closed.
-	silentLimit = 3 * time.Second
+	headerTimeout = 10 * time.Second
+	idleTimeout   = time.Minute
+	// dialTimeout is the timeout of a dial within the partner's zones.
+	dialTimeout = 400 * time.Millisecond
+	// unackedTimeout is how long sent bytes may stay unacknowledged before the connection is closed.
+	unackedTimeout = 3 * time.Second
 	// ownTable is the store table of the project's own rows.
 	ownTable = "streambend"
 	// tickPeriod is how often time-dependent state is updated.
@@ -50,47 +50,47 @@
 	Server *request.Server
 	Hub    *conn.Hub
 
-	network  seam.Network
-	without  mechanism.Set
-	site     atomic.Pointer[platform.Site]
-	log      *logrus.Logger
-	store    *platform.Store
-	table    *platform.Table
-	cloud    *platform.Cloud
-	catalog  catalogKeeper
-	runners  runnerKeeper
-	tallies  *Tallies
-	quotas   *Quotas
-	flow     FlowReader
-	sends    sendQueue
-	duties   *duties
-	rollouts rolloutController
-	limits   limitKeeper
-	words    wordKeeper
-	meters   *meters
-	unknown  unknownHeaders
-	outside  *http.Client // for the store and the cloud API
+	network        seam.Network
+	without        mechanism.Set
+	site           atomic.Pointer[platform.Site]
+	log            *logrus.Logger
+	store          *platform.Store
+	table          *platform.Table
+	cloud          *platform.Cloud
+	catalog        catalogTracker
+	runners        endpointTracker
+	tallies        *Tallies
+	quotas         *Quotas
+	flow           FlowReader
+	sends          sendQueue
+	duties         *duties
+	rollouts       rolloutController
+	limits         limitKeeper
+	words          wordKeeper
+	meters         *meters
+	unknown        unknownHeaders
+	externalClient *http.Client // for the store and the cloud API
 
-	inbound    conn.Connections // connections of callers
-	accepting  net.Listener     // listener for callers
-	callers    *http.Server
-	checks     *http.Server // readiness checks of the balancer
-	peers      *http.Server
-	stopping   atomic.Bool
-	ready      atomic.Bool
-	feedsDown  atomic.Int32 // number of store feeds that are failing
-	began      time.Time
-	wall       *Wall
-	contact    contact
-	lastRoster atomic.Pointer[Roster]
-	readerTurn ReaderTurn
-	feeds      tallyFeeds
-	outage     Outage
-	fetching   sync.Mutex    // held while the pieces of a catalog are fetched from another daemon
-	coming     assembly      // the pieces fetched so far
-	shelf      shelf         // packed catalogs served to other daemons
-	slept      time.Duration // total time the box was suspended, as last seen; used by one goroutine
-	asked      int           // rounds of questions to daemons other than readers; used by one goroutine
+	inbound        conn.Connections // connections of callers
+	callerListener net.Listener     // listener for callers
+	callers        *http.Server
+	checks         *http.Server // readiness checks of the balancer
+	peers          *http.Server
+	stopping       atomic.Bool
+	ready          atomic.Bool
+	feedsDown      atomic.Int32 // number of store feeds that are failing
+	began          time.Time
+	wall           *Wall
+	contact        contact
+	lastRoster     atomic.Pointer[Roster]
+	readerTurn     ReaderTurn
+	feeds          tallyFeeds
+	outage         Outage
+	fetching       sync.Mutex    // held while the pieces of a catalog are fetched from another daemon
+	coming         assembly      // the pieces fetched so far
+	shelf          packedCache   // packed catalogs served to other daemons
+	slept          time.Duration // total time the box was suspended, as last seen; used by one goroutine
+	asked          int           // rounds of questions to daemons other than readers; used by one goroutine
 
 	ctx    context.Context
 	cancel context.CancelFunc
@@ -98,7 +98,7 @@
 }
 
 // Network returns the TCP network of a deployed daemon.
-func Network() seam.Network { return seam.TCP{DialTimeout: dialLimit, SilentTimeout: silentLimit} }
+func Network() seam.Network { return seam.TCP{DialTimeout: dialTimeout, SilentTimeout: unackedTimeout} }
 
 // New starts a daemon, which is ready once it knows the catalog and the endpoints. The mechanisms in
 // without are switched off.
@@ -115,18 +115,18 @@
 	d.site.Store(&site)
 	d.ctx, d.cancel = context.WithCancel(context.Background())
 	d.Self = conn.Member{Name: site.Name, Start: time.Now().UnixMilli(), Address: site.PeerAddr, Zone: site.Zone, Power: int(100 * site.CPUShare)}
-	d.outside = seam.HTTPClient(n, 0)
-	d.outside.Transport = counted{d.outside.Transport, d.meters}
-	d.store = platform.NewStore(site.Store, d.outside)
+	d.externalClient = seam.HTTPClient(n, 0)
+	d.externalClient.Transport = countingTransport{d.externalClient.Transport, d.meters}
+	d.store = platform.NewStore(site.Store, d.externalClient)
 	d.table = &platform.Table{Store: d.store, Name: ownTable}
-	d.cloud = platform.NewCloud(site.Cloud, d.outside)
+	d.cloud = platform.NewCloud(site.Cloud, d.externalClient)
 	d.catalog.d = d
-	d.runners = newRunnerKeeper(d)
+	d.runners = newEndpointTracker(d)
 	d.rollouts = newRolloutController(d)
 	d.limits, d.words = newLimitKeeper(d), newWordKeeper(d)
 	d.tallies = NewTallies(d.Self)
 	d.sends.wake = make(chan struct{}, 1)
-	d.Server = request.NewServer(d.options(), conn.NewClient(n, defaultBody), nil, nil, log)
+	d.Server = request.NewServer(d.options(), conn.NewClient(n, defaultMaxBody), nil, nil, log)
 	timing := conn.DefaultTiming()
 	timing.FullMesh = fullMesh
 	mesh := conn.NewMesh(d.Self, timing)
@@ -147,7 +147,7 @@
 	o.Zone = d.Site().Zone
 	o.Grace = 0 // callers disconnect at their deadline
 	o.NoLimit = true
-	o.RouteWait = comeBack
+	o.RouteWait = defaultRetryAfter
 	o.Listed = d.listed
 	o.Trials = &d.rollouts
 	o.Permits, o.Said = &d.limits, d.words.said
@@ -179,14 +179,14 @@
 }
 
 func (d *Daemon) serve(ls listeners) {
-	d.callers = &http.Server{Handler: &ingress{d}, ReadHeaderTimeout: headerWait, IdleTimeout: idleWait, ConnState: d.inbound.State}
-	d.accepting = d.inbound.Listen(ls.callers)
-	d.checks = &http.Server{Handler: http.HandlerFunc(d.serveReady), ReadHeaderTimeout: headerWait, IdleTimeout: idleWait}
+	d.callers = &http.Server{Handler: &ingress{d}, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, ConnState: d.inbound.State}
+	d.callerListener = d.inbound.Listen(ls.callers)
+	d.checks = &http.Server{Handler: http.HandlerFunc(d.serveReady), ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout}
 	mux := http.NewServeMux()
 	mux.Handle(conn.PeerPath, d.Hub)
 	mux.Handle("GET /metrics", d.meters)
-	d.peers = &http.Server{Handler: mux, ReadHeaderTimeout: headerWait, IdleTimeout: idleWait}
-	d.run(func() { d.serveOn(d.callers, d.accepting) })
+	d.peers = &http.Server{Handler: mux, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout}
+	d.run(func() { d.serveOn(d.callers, d.callerListener) })
 	d.run(func() { d.serveOn(d.checks, ls.checks) })
 	d.run(func() { d.serveOn(d.peers, ls.peers) })
 }
@@ -201,7 +201,7 @@
 	}
 	mux := http.NewServeMux()
 	mux.Handle("GET /metrics", d.meters)
-	s := &http.Server{Handler: mux, ReadHeaderTimeout: headerWait, IdleTimeout: idleWait}
+	s := &http.Server{Handler: mux, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout}
 	d.run(func() { d.serveOn(s, l) })
 	context.AfterFunc(d.ctx, func() { s.Close() })
 }
@@ -219,8 +219,8 @@
 	}
 }
 
-// judgeReady updates the daemon's readiness.
-func (d *Daemon) judgeReady(now time.Time) {
+// updateReady updates the daemon's readiness.
+func (d *Daemon) updateReady(now time.Time) {
 	c := d.catalog.get()
 	age, known := d.catalog.fresh.Age(now)
 	listed, _ := d.runners.fresh.Age(now)
@@ -274,12 +274,12 @@
 		d.runners.tick(now)
 		d.rollouts.tick(now)
 		d.words.tell(now)
-		d.observeDay(now)
+		d.observeWallClock(now)
 		d.judgeCutOff(now)
 		d.contact.noteAlone(now, len(d.Hub.Mesh.Members()) < 2)
 		d.noteOutage(now)
 		d.assumeFlow(now)
-		d.judgeReady(now)
+		d.updateReady(now)
 	})
 	d.run(func() { d.askEarly(d.ctx) })
 	d.run(func() {
@@ -308,7 +308,7 @@
 func (d *Daemon) take(_ time.Time, in conn.Delivery) {
 	now := clock.Now() // not the argument, which is of the clock of timers
 	if in.Payload.Freed > 0 {
-		d.duties.hearFreed(in.Payload.Freed)
+		d.duties.noteFreed(in.Payload.Freed)
 	}
 	d.Server.Holds.Take(now, in.From, in.Payload)
 	d.rollouts.receive(now, in.From, in.Payload.Orders)
@@ -370,8 +370,8 @@
 	return d.wall.At(at).UnixNano() / d.Site().Bounds.UsageWindow.Nanoseconds()
 }
 
-// observeDay tracks the box's wall clock.
-func (d *Daemon) observeDay(now time.Time) {
+// observeWallClock tracks the box's wall clock.
+func (d *Daemon) observeWallClock(now time.Time) {
 	step, begins, believed := d.wall.Observe(now, time.Now())
 	if begins || believed {
 		d.log.WithFields(logrus.Fields{"part": "process", "step_ms": step.Milliseconds(), "believed": believed}).
--- a/entry/duties.go
+++ b/entry/duties.go
@@ -19,36 +19,36 @@
 )
 
 const (
-	// dutyShard is the name of the single lease for all duties.
-	dutyShard = "duties"
-	// dutyTerm is the term of the lease. It exceeds a renewal at a slow store, and leaves a successor
+	// dutyLease is the name of the single lease for all duties.
+	dutyLease = "duties"
+	// leaseTerm is the term of the lease. It exceeds a renewal at a slow store, and leaves a successor
 	// time for a report that is due within 10 s.
-	dutyTerm = 3 * time.Second
-	// dutyMargin is how long before the end of the term the holder stops making calls, so that its
+	leaseTerm = 3 * time.Second
+	// leaseMargin is how long before the end of the term the holder stops making calls, so that its
 	// last call has arrived or is lost when the next holder begins.
-	dutyMargin = 900 * time.Millisecond
-	// dutyPeriod is how often the holder renews the lease and other daemons check it, and dutyStep
+	leaseMargin = 900 * time.Millisecond
+	// leaseRenewPeriod is how often the holder renews the lease and other daemons check it, and dutyPeriod
 	// how often the holder checks for work.
-	dutyPeriod = 900 * time.Millisecond
-	dutyStep   = 250 * time.Millisecond
-	// dutyWatch is how often other daemons check a lease whose holder they know to be alive.
-	dutyWatch = 2500 * time.Millisecond
-	// dutySettle is the minimum time after its start before a daemon tries to take the lease. By then,
+	leaseRenewPeriod = 900 * time.Millisecond
+	dutyPeriod       = 250 * time.Millisecond
+	// leaseWatchPeriod is how often other daemons check a lease whose holder they know to be alive.
+	leaseWatchPeriod = 2500 * time.Millisecond
+	// minLeaseUptime is the minimum time after its start before a daemon tries to take the lease. By then,
 	// daemons that start together have read each other's rows, and only the readers of a large fleet
 	// check the lease. Without it, each of 60 daemons tried to take the lease, which was a third of
 	// the calls of their start.
-	dutySettle = 500 * time.Millisecond
-	// rosterSettle is how long the roster must be unchanged before a starting daemon tries to take the
-	// lease; rosterMost after the start this no longer applies. When 60 daemons start at once, one
+	minLeaseUptime = 500 * time.Millisecond
+	// rosterStableTime is how long the roster must be unchanged before a starting daemon tries to take the
+	// lease; rosterStableLimit after the start this no longer applies. When 60 daemons start at once, one
 	// that does not know its zone's reader yet considers itself the reader, and the lease keeps
 	// changing hands.
-	rosterSettle = 2 * dutyStep
-	rosterMost   = 3 * time.Second
-	// dutyPatience is how long renewals may fail until the holder gives the lease up. The next renewal
+	rosterStableTime  = 2 * dutyPeriod
+	rosterStableLimit = 3 * time.Second
+	// renewFailureLimit is how long renewals may fail until the holder gives the lease up. The next renewal
 	// falls within it.
-	dutyPatience = time.Second
-	// dutyCall is the timeout of a call to the cloud API.
-	dutyCall = 1500 * time.Millisecond
+	renewFailureLimit = time.Second
+	// cloudCallTimeout is the timeout of a call to the cloud API.
+	cloudCallTimeout = 1500 * time.Millisecond
 )
 
 // duties runs the tasks that only one daemon at a time performs, under a lease.
@@ -61,18 +61,18 @@
 	scale   scaleDuty
 	rollout rolloutDuty
 
-	held    bool
-	failing time.Time    // since when renewals fail; zero while they succeed
-	began   time.Time    // start of this process
-	roster  *Roster      // as last seen
-	since   time.Time    // when the roster last changed
-	acted   time.Time    // end of this process's last call
-	actFrom time.Time    // before this, a call could look like alternation with another holder
-	freed   atomic.Int64 // latest epoch whose holder has released the lease
+	held         bool
+	failingSince time.Time    // since when renewals fail; zero while they succeed
+	began        time.Time    // start of this process
+	roster       *Roster      // as last seen
+	rosterSince  time.Time    // when the roster last changed
+	lastCall     time.Time    // end of this process's last call
+	callsFrom    time.Time    // before this, a call could look like alternation with another holder
+	freedEpoch   atomic.Int64 // latest epoch whose holder has released the lease
 }
 
 func newDuties(d *Daemon) *duties {
-	x := &duties{d: d, gate: newGate(), calls: newGate(), lease: version.Lease{Shard: dutyShard, Self: instanceOf(d.Self), Term: dutyTerm, Margin: dutyMargin}, began: clock.Now()}
+	x := &duties{d: d, gate: newGate(), calls: newGate(), lease: version.Lease{Shard: dutyLease, Self: instanceOf(d.Self), Term: leaseTerm, Margin: leaseMargin}, began: clock.Now()}
 	x.usage = usageDuty{d: d, done: make(map[int64]bool)}
 	x.scale = newScaleDuty(d)
 	x.rollout = rolloutDuty{d: d}
@@ -88,31 +88,31 @@
 	for ctx.Err() == nil {
 		clock.Look() // the term may have ended while the box was suspended
 		now := clock.Now()
-		able := x.able(now)
+		able := x.eligible(now)
 		if !able && x.holds() {
 			x.release(ctx)
 		}
-		if able && now.Sub(renewed) >= x.period() && !x.d.stopping.Load() {
+		if able && now.Sub(renewed) >= x.checkPeriod() && !x.d.stopping.Load() {
 			renewed = now
 			x.step(ctx, now)
 		}
 		x.scale.observe(now)
-		if _, _, ok := x.mayAct(clock.Now()); ok {
-			x.act(ctx)
+		if _, _, ok := x.mayCall(clock.Now()); ok {
+			x.stepDuties(ctx)
 		}
-		sleep(ctx, dutyStep)
+		sleep(ctx, dutyPeriod)
 	}
 }
 
-// able reports whether this daemon may hold the lease: it must know how many daemons there are, and
+// eligible reports whether this daemon may hold the lease: it must know how many daemons there are, and
 // in a large fleet it must be a reader, as only readers know all tallies.
-func (x *duties) able(now time.Time) bool {
+func (x *duties) eligible(now time.Time) bool {
 	if r := x.d.roster(); r != x.roster {
-		x.roster, x.since = r, now
+		x.roster, x.rosterSince = r, now
 	}
 	// This applies only to taking the lease: a holder that released it for this would let another
 	// daemon act, and then take it back.
-	settled := x.holds() || now.Sub(x.began) >= dutySettle && (now.Sub(x.since) >= rosterSettle || now.Sub(x.began) >= rosterMost)
+	settled := x.holds() || now.Sub(x.began) >= minLeaseUptime && (now.Sub(x.rosterSince) >= rosterStableTime || now.Sub(x.began) >= rosterStableLimit)
 	return x.d.contact.counted.Load() && settled && (!x.d.many() || x.d.isReader())
 }
 
@@ -123,26 +123,26 @@
 	return x.held
 }
 
-// period returns the time between two checks of the lease.
-func (x *duties) period() time.Duration {
+// checkPeriod returns the time between two checks of the lease.
+func (x *duties) checkPeriod() time.Duration {
 	x.gate.lock()
 	defer x.gate.unlock()
 	holder := x.lease.Holder()
-	if x.held || holder.Holder == "" || holder.Free || x.freed.Load() >= holder.Epoch {
-		return dutyPeriod
+	if x.held || holder.Holder == "" || holder.Free || x.freedEpoch.Load() >= holder.Epoch {
+		return leaseRenewPeriod
 	}
 	for _, m := range x.d.others() {
-		if m.Name == nodeOf(holder.Holder) && m.State == conn.MemberAlive && instanceOf(m) == holder.Holder {
-			return dutyWatch
+		if m.Name == daemonOf(holder.Holder) && m.State == conn.MemberAlive && instanceOf(m) == holder.Holder {
+			return leaseWatchPeriod
 		}
 	}
-	return dutyPeriod
+	return leaseRenewPeriod
 }
 
 // abandoned returns the newest epoch whose holder is known to make no more calls: it has released the
 // lease, or its daemon has restarted since.
 func (x *duties) abandoned(row version.LeaseRow) int64 {
-	freed := x.freed.Load()
+	freed := x.freedEpoch.Load()
 	if row.Epoch <= freed || row.Holder == instanceOf(x.d.Self) {
 		return freed
 	}
@@ -154,10 +154,10 @@
 	return freed
 }
 
-// hearFreed records that the holder of an epoch has released the lease.
-func (x *duties) hearFreed(epoch int64) {
-	if x.freed.Load() < epoch {
-		x.freed.Store(epoch)
+// noteFreed records that the holder of an epoch has released the lease.
+func (x *duties) noteFreed(epoch int64) {
+	if x.freedEpoch.Load() < epoch {
+		x.freedEpoch.Store(epoch)
 	}
 }
 
@@ -167,29 +167,29 @@
 	defer x.gate.unlock()
 	before := x.lease.Holder()
 	x.lease.Abandoned = x.abandoned(before)
-	call, cancel := context.WithTimeout(ctx, answerLimit)
+	call, cancel := context.WithTimeout(ctx, storeCallTimeout)
 	err := x.lease.Step(call, now, x.d.table)
 	cancel()
 	epoch, held := x.lease.Held(clock.Now())
 	fields := logrus.Fields{"part": "duties", "epoch": epoch, "holder": x.lease.Holder().Holder}
 	if held && !x.held {
 		before = x.lease.Replaced()
-		x.actFrom = x.mayAlternate(before.Holder)
+		x.callsFrom = x.earliestCall(before.Holder)
 		x.usage.begin(clock.Now())
 		x.scale.begin()
 		x.rollout.begin()
 		x.d.log.WithFields(fields).Infof("lease taken, previous holder %q", before.Holder)
 	}
 	if err != nil && held {
-		if x.failing.IsZero() {
-			x.failing = now
+		if x.failingSince.IsZero() {
+			x.failingSince = now
 		}
-		if now.Sub(x.failing) >= dutyPatience && len(x.d.others()) > 0 {
-			x.giveUp(clock.Now())
+		if now.Sub(x.failingSince) >= renewFailureLimit && len(x.d.others()) > 0 {
+			x.dropLease(clock.Now())
 			held = false
 		}
 	} else {
-		x.failing = time.Time{}
+		x.failingSince = time.Time{}
 	}
 	if !held && x.held {
 		x.d.log.WithFields(fields).Warnf("lease lost: %v", err)
@@ -197,23 +197,23 @@
 	x.held = held
 }
 
-// mayAlternate returns the earliest time at which this daemon may make a call after another holder:
+// earliestCall returns the earliest time at which this daemon may make a call after another holder:
 // calls by this daemon, the other and this daemon again must not fall within the lease bound. A new
 // process does not know when its daemon made its last call, and counts from its start.
-func (x *duties) mayAlternate(before string) time.Time {
-	if before == "" || nodeOf(before) == x.d.Self.Name {
+func (x *duties) earliestCall(before string) time.Time {
+	if before == "" || daemonOf(before) == x.d.Self.Name {
 		return time.Time{}
 	}
 	last := x.began
-	if x.acted.After(last) {
-		last = x.acted
+	if x.lastCall.After(last) {
+		last = x.lastCall
 	}
 	return last.Add(x.d.Site().Bounds.Lease)
 }
 
-// giveUp drops the lease when the store does not answer this daemon, and tells the other daemons, so
+// dropLease drops the lease when the store does not answer this daemon, and tells the other daemons, so
 // that one with access to the store need not wait for the end of the term.
-func (x *duties) giveUp(now time.Time) {
+func (x *duties) dropLease(now time.Time) {
 	epoch, held := x.lease.Held(now)
 	if !held {
 		return
@@ -224,8 +224,8 @@
 	x.d.Hub.Tell(conn.Payload{Freed: epoch})
 }
 
-// nodeOf returns the daemon name in an instance name.
-func nodeOf(instance string) string {
+// daemonOf returns the daemon name in an instance name.
+func daemonOf(instance string) string {
 	node, _ := splitInstance(instance)
 	return node
 }
@@ -243,13 +243,13 @@
 	return instance[:at], start
 }
 
-// mayAct returns the fencing token to use and the time by which a call must have arrived; ok is false
+// mayCall returns the fencing token to use and the time by which a call must have arrived; ok is false
 // if the lease does not allow a call now.
-func (x *duties) mayAct(now time.Time) (f platform.Fence, until time.Time, ok bool) {
+func (x *duties) mayCall(now time.Time) (f platform.Fence, until time.Time, ok bool) {
 	x.gate.lock()
 	defer x.gate.unlock()
 	epoch, held := x.lease.Held(now)
-	if !held || now.Before(x.actFrom) || x.d.stopping.Load() {
+	if !held || now.Before(x.callsFrom) || x.d.stopping.Load() {
 		return f, until, false
 	}
 	return platform.Fence{Holder: x.d.Self.Name, Token: epoch}, x.lease.Ends(), true
@@ -265,18 +265,18 @@
 	defer x.calls.unlock()
 	clock.Look() // the box may have been suspended; check again just before the call
 	now := clock.Now()
-	f, until, ok := x.mayAct(now)
+	f, until, ok := x.mayCall(now)
 	if !ok {
 		return errNoLease
 	}
-	ctx, cancel := context.WithTimeout(ctx, min(dutyCall, until.Sub(now)))
+	ctx, cancel := context.WithTimeout(ctx, min(cloudCallTimeout, until.Sub(now)))
 	defer cancel()
-	defer func() { x.acted = clock.Now() }()
+	defer func() { x.lastCall = clock.Now() }()
 	return do(ctx, f)
 }
 
-// act performs one step of each duty.
-func (x *duties) act(ctx context.Context) {
+// stepDuties performs one step of each duty.
+func (x *duties) stepDuties(ctx context.Context) {
 	x.rollout.step(ctx, x)
 	if x.d.Site().Duties.Usage {
 		x.usage.step(ctx, x)
@@ -290,7 +290,7 @@
 func (x *duties) release(ctx context.Context) {
 	x.calls.lock()
 	defer x.calls.unlock()
-	ctx, cancel := context.WithTimeout(ctx, answerLimit)
+	ctx, cancel := context.WithTimeout(ctx, storeCallTimeout)
 	defer cancel()
 	x.gate.lock()
 	defer x.gate.unlock()
--- a/entry/ingress.go
+++ b/entry/ingress.go
@@ -29,25 +29,25 @@
 	sendMargin = 300 * time.Millisecond
 	// staleRoute is the catalog age from which a missing route may be a new one, not known here yet.
 	staleRoute = 1500 * time.Millisecond
-	// comeBack is the default time after which a caller may retry.
-	comeBack = 300 * time.Millisecond
+	// defaultRetryAfter is the default time after which a caller may retry.
+	defaultRetryAfter = 300 * time.Millisecond
 	// defaultTimeout is the timeout of a request whose route has none.
 	defaultTimeout = 30 * time.Second
-	// defaultBody is the maximum size of a body, in bytes, if the catalog has none.
-	defaultBody = 8 << 20
-	// toldWait is how long a request waits at a daemon that has just started, and may use only its own
+	// defaultMaxBody is the maximum size of a body, in bytes, if the catalog has none.
+	defaultMaxBody = 8 << 20
+	// fullLimitWait is how long a request waits at a daemon that has just started, and may use only its own
 	// share of the team's limit, for the report that lets it use the whole limit. The report arrives
 	// 20 to 60 ms after a daemon is ready, and a refusal costs the caller an attempt.
-	toldWait = 150 * time.Millisecond
-	// bodyWait is the timeout for reading a body, which is part of the request's time.
-	bodyWait = 10 * time.Second
+	fullLimitWait = 150 * time.Millisecond
+	// bodyTimeout is the timeout for reading a body, which is part of the request's time.
+	bodyTimeout = 10 * time.Second
 )
 
 // ingress is the HTTP handler for callers.
 type ingress struct{ d *Daemon }
 
-// order is the state of a caller's request while it is accepted and answered.
-type order struct {
+// inboundRequest is the state of a caller's request while it is accepted and answered.
+type inboundRequest struct {
 	call   platform.Call
 	route  *version.PathRoute
 	tenant *version.Tenant // nil where no key is needed
@@ -59,7 +59,7 @@
 func (s *ingress) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	clock.Look()
 	now := clock.Now()
-	o := &order{call: platform.ReadCall(r.Header)}
+	o := &inboundRequest{call: platform.ReadCall(r.Header)}
 	if s.d.stopping.Load() {
 		w.Header().Set("Connection", "close")
 	}
@@ -98,19 +98,19 @@
 }
 
 // accept checks a request and prepares it to be relayed.
-func (s *ingress) accept(now time.Time, w http.ResponseWriter, r *http.Request, o *order) *code.Error {
+func (s *ingress) accept(now time.Time, w http.ResponseWriter, r *http.Request, o *inboundRequest) *code.Error {
 	age, _ := s.d.catalog.fresh.Age(now) // before get, so that it is not the age of a newer catalog
 	c := s.d.catalog.get()
 	if c == nil {
-		return code.New(code.Isolated, "this daemon has no configuration yet").After(comeBack)
+		return code.New(code.Isolated, "this daemon has no configuration yet").After(defaultRetryAfter)
 	}
 	if !s.d.catalogCurrent(now, age) {
-		return code.New(code.Isolated, "the configuration is %s old, and there may be a newer one", age.Round(time.Millisecond)).After(comeBack)
+		return code.New(code.Isolated, "the configuration is %s old, and there may be a newer one", age.Round(time.Millisecond)).After(defaultRetryAfter)
 	}
 	path, _, _ := strings.Cut(target(r), "?")
 	if o.route = c.Match(r.Host, path); o.route == nil {
 		if age > staleRoute {
-			return code.New(code.Isolated, "no such route here, but the configuration is %s old", age.Round(time.Millisecond)).After(comeBack)
+			return code.New(code.Isolated, "no such route here, but the configuration is %s old", age.Round(time.Millisecond)).After(defaultRetryAfter)
 		}
 		return code.New(code.NoSuchService, "no route of host %q matches path %q", r.Host, path)
 	}
@@ -134,12 +134,12 @@
 
 // identify finds the team of a request. A key is valid only while the catalog is fresh, since it may
 // have been revoked.
-func (s *ingress) identify(c *version.Catalog, age time.Duration, o *order) *code.Error {
+func (s *ingress) identify(c *version.Catalog, age time.Duration, o *inboundRequest) *code.Error {
 	if o.route.Public || !c.Keyed() {
 		return nil
 	}
 	if s.d.Site().Bounds.StrictRevocation && age > s.d.Site().Bounds.Revocation-freshMargin {
-		return code.New(code.Isolated, "the configuration is %s old, too old to check keys", age.Round(time.Millisecond)).After(comeBack)
+		return code.New(code.Isolated, "the configuration is %s old, too old to check keys", age.Round(time.Millisecond)).After(defaultRetryAfter)
 	}
 	if o.tenant = c.Tenant(o.call.Key); o.tenant == nil {
 		return code.New(code.UnknownToken, "the key belongs to no team")
@@ -154,10 +154,10 @@
 	}
 	most := c.Limits.BodyBytes
 	if most <= 0 {
-		most = defaultBody
+		most = defaultMaxBody
 	}
 	rc := http.NewResponseController(w)
-	rc.SetReadDeadline(time.Now().Add(bodyWait)) // always supported by net/http's server
+	rc.SetReadDeadline(time.Now().Add(bodyTimeout)) // always supported by net/http's server
 	b, err := io.ReadAll(http.MaxBytesReader(w, r.Body, most))
 	rc.SetReadDeadline(time.Time{})
 	var large *http.MaxBytesError
@@ -171,7 +171,7 @@
 }
 
 // limit charges a request to its team's limit.
-func (s *ingress) limit(now time.Time, c *version.Catalog, o *order) *code.Error {
+func (s *ingress) limit(now time.Time, c *version.Catalog, o *inboundRequest) *code.Error {
 	t := o.tenant
 	if t == nil {
 		return nil
@@ -185,7 +185,7 @@
 	}
 	wait, ok := s.d.quotas.Admit(now, t, o.units, s.d.share())
 	if !ok && s.d.fleet().Untold() && now.Sub(s.d.began) < youngFor {
-		wait, ok = s.admitOnceTold(t, o.units)
+		wait, ok = s.admitAfterReport(t, o.units)
 	}
 	if !ok {
 		return code.New(code.TeamShare, "team %s has not enough of its limit left for %.0f units", t.Name, o.units).After(wait)
@@ -194,21 +194,21 @@
 	return nil
 }
 
-// admitOnceTold waits until this daemon knows what others admit, at most toldWait, and then charges
+// admitAfterReport waits until this daemon knows what others admit, at most fullLimitWait, and then charges
 // units to a team's limit.
-func (s *ingress) admitOnceTold(t *version.Tenant, units float64) (wait time.Duration, ok bool) {
-	passed, stop := after(toldWait)
+func (s *ingress) admitAfterReport(t *version.Tenant, units float64) (wait time.Duration, ok bool) {
+	passed, stop := after(fullLimitWait)
 	defer stop()
 	select {
 	case <-s.d.contact.told:
 	case <-passed:
 	}
 	wait, ok = s.d.quotas.Admit(clock.Now(), t, units, s.d.share())
-	return max(wait, comeBack), ok
+	return max(wait, defaultRetryAfter), ok
 }
 
 // request returns the request in the form that request.Server takes.
-func (s *ingress) request(now time.Time, r *http.Request, c *version.Catalog, o *order, body []byte) *request.Request {
+func (s *ingress) request(now time.Time, r *http.Request, c *version.Catalog, o *inboundRequest, body []byte) *request.Request {
 	wait := o.route.Timeout
 	if wait <= 0 {
 		wait = defaultTimeout
@@ -239,7 +239,7 @@
 	req.Relay = &request.Relay{
 		Codec: &codec{in: platform.Forwarded(r.Header), team: team, urgency: urgency, unknown: &s.d.unknown},
 		Host:  r.Host, Streaming: o.route.Streaming, Attempts: o.route.Attempts,
-		Prefix: prefix(o.call.Parts), PromptTokens: o.call.In, OutTokens: expectOut(o.call), Guess: o.call.Hint,
+		Prefix: prefixID(o.call.Parts), PromptTokens: o.call.In, OutTokens: expectedTokens(o.call), Guess: o.call.Hint,
 		Pause: o.route.Pause, WaitLimit: c.WaitLimit(o.route, name), Parts: parts(o.call.Parts),
 		Begun:    func(at time.Time) { s.d.begun(team, at) },
 		Measured: s.d.meters.measured,
@@ -256,16 +256,16 @@
 	return out
 }
 
-// prefix returns an identifier of the prompt's longest prefix that other requests share.
-func prefix(parts []platform.Part) uint64 {
+// prefixID returns an identifier of the prompt's longest prefix that other requests share.
+func prefixID(parts []platform.Part) uint64 {
 	if len(parts) == 0 {
 		return 0
 	}
 	return parts[max(len(parts)-2, 0)].ID | 1
 }
 
-// expectOut returns the expected number of tokens in the answer.
-func expectOut(c platform.Call) int {
+// expectedTokens returns the expected number of tokens in the answer.
+func expectedTokens(c platform.Call) int {
 	if c.Hint > 0 {
 		return min(c.Hint, max(c.MostOut, 1))
 	}
@@ -273,7 +273,7 @@
 }
 
 // refuse answers with an error of the daemon, as opposed to one of an endpoint.
-func (s *ingress) refuse(w http.ResponseWriter, o *order, err *code.Error) {
+func (s *ingress) refuse(w http.ResponseWriter, o *inboundRequest, err *code.Error) {
 	status := err.Code.Entry().Status
 	fields := logrus.Fields{"part": "ingress", "request": o.call.ID, "code": int(err.Code), "status": status, "retry_after_ms": err.RetryAfter.Milliseconds()}
 	if o.route != nil {
--- a/entry/members.go
+++ b/entry/members.go
@@ -24,7 +24,7 @@
 // syncMembers writes this daemon's row and reads the others', so that daemons without neighbours find
 // each other. Further membership changes come over the links.
 func (d *Daemon) syncMembers(ctx context.Context) {
-	d.greetSeeds() // before the first call to the store, which may only fail by its timeout
+	d.connectSeeds() // before the first call to the store, which may only fail by its timeout
 	// A daemon that restarts finds its row, and need not write it.
 	written := !d.Site().First && d.readMembers(ctx)
 	for read := written; ctx.Err() == nil; read = false {
@@ -37,7 +37,7 @@
 		}
 		pause := memberPeriod
 		if alone {
-			d.greetSeeds()
+			d.connectSeeds()
 			pause = seedPeriod
 		}
 		if !written || !d.contact.counted.Load() {
@@ -47,8 +47,8 @@
 	}
 }
 
-// greetSeeds opens links to the daemons that the settings name.
-func (d *Daemon) greetSeeds() {
+// connectSeeds opens links to the daemons that the settings name.
+func (d *Daemon) connectSeeds() {
 	for _, a := range d.Site().Seeds {
 		d.Hub.Greet(time.Now(), a)
 	}
@@ -56,7 +56,7 @@
 
 // writeMember writes this daemon's row, and reports whether that succeeded.
 func (d *Daemon) writeMember(ctx context.Context) bool {
-	ctx, cancel := context.WithTimeout(ctx, 2*answerLimit)
+	ctx, cancel := context.WithTimeout(ctx, 2*storeCallTimeout)
 	defer cancel()
 	v, err := json.Marshal(d.Self)
 	if err == nil {
@@ -70,7 +70,7 @@
 
 // readMembers reads the daemons' rows, and reports whether this daemon's current row is among them.
 func (d *Daemon) readMembers(ctx context.Context) (own bool) {
-	ctx, cancel := context.WithTimeout(ctx, 2*answerLimit)
+	ctx, cancel := context.WithTimeout(ctx, 2*storeCallTimeout)
 	defer cancel()
 	p, err := d.store.Rows(ctx, memberTable, "", "")
 	if err != nil {
--- a/entry/meters.go
+++ b/entry/meters.go
@@ -64,32 +64,32 @@
 	metrics.GetOrRegisterCounter("errors."+c.Entry().Name, m.registry).Inc(1)
 }
 
-// leftOut counts an invalid endpoint entry.
-func (m *meters) leftOut(reason string) {
+// invalidEntry counts an invalid endpoint entry.
+func (m *meters) invalidEntry(reason string) {
 	metrics.GetOrRegisterCounter("endpoints.left_out."+reason, m.registry).Inc(1)
 }
 
-// tried counts an answer during a roll-out; side is "old" or "new".
-func (m *meters) tried(service, side string, t rollout.Tally) {
+// trialAnswer counts an answer during a roll-out; side is "old" or "new".
+func (m *meters) trialAnswer(service, side string, t rollout.Tally) {
 	name := "rollout." + service + "." + side
 	metrics.GetOrRegisterCounter(name+".answers", m.registry).Inc(t.Whole)
 	metrics.GetOrRegisterCounter(name+".bad", m.registry).Inc(t.Bad)
 }
 
-// counted is a transport that counts calls by the last element of their path.
-type counted struct {
+// countingTransport is a transport that counts calls by the last element of their path.
+type countingTransport struct {
 	http.RoundTripper
 	meters *meters
 }
 
 // RoundTrip implements http.RoundTripper.
-func (c counted) RoundTrip(r *http.Request) (*http.Response, error) {
+func (c countingTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	metrics.GetOrRegisterCounter("calls."+path.Base(r.URL.Path), c.meters.registry).Inc(1)
 	return c.RoundTripper.RoundTrip(r)
 }
 
 // CloseIdleConnections closes the idle connections of the wrapped transport, for http.Client.
-func (c counted) CloseIdleConnections() {
+func (c countingTransport) CloseIdleConnections() {
 	if t, ok := c.RoundTripper.(interface{ CloseIdleConnections() }); ok {
 		t.CloseIdleConnections()
 	}
--- a/entry/rolloutduty.go
+++ b/entry/rolloutduty.go
@@ -119,7 +119,7 @@
 }
 
 func (x *rolloutDuty) read(ctx context.Context, service string) (h storedRollout, err error) {
-	ctx, cancel := context.WithTimeout(ctx, answerLimit)
+	ctx, cancel := context.WithTimeout(ctx, storeCallTimeout)
 	defer cancel()
 	r, _, ok, err := x.d.store.Row(ctx, rolloutTable, "", service)
 	if err != nil || !ok {
@@ -132,7 +132,7 @@
 // write writes the next row and the operator's status. The row is read again before the next step in
 // any case, as a write may have been applied though its answer was lost.
 func (x *rolloutDuty) write(ctx context.Context, u *duties, service string, row storedRollout, next rolloutRow) error {
-	f, until, ok := u.mayAct(clock.Now())
+	f, until, ok := u.mayCall(clock.Now())
 	if !ok {
 		return nil
 	}
@@ -153,7 +153,7 @@
 		return err
 	}
 	delete(x.rows, service)
-	ctx, cancel := context.WithTimeout(ctx, min(answerLimit, until.Sub(clock.Now())))
+	ctx, cancel := context.WithTimeout(ctx, min(storeCallTimeout, until.Sub(clock.Now())))
 	defer cancel()
 	_, err = x.d.store.Apply(ctx, platform.Change{
 		If:    []platform.Condition{{Table: rolloutTable, Key: service, Version: row.version}},
--- a/entry/rollouts.go
+++ b/entry/rollouts.go
@@ -150,7 +150,7 @@
 		endpoint, side = a.Endpoint, "new"
 	}
 	k.d.tallies.Try(v.order.Number, a.Route, endpoint, t)
-	k.d.meters.tried(a.Service, side, t)
+	k.d.meters.trialAnswer(a.Service, side, t)
 }
 
 // applyOrder applies an order that was written no later than the given time, with its progress as known
--- a/entry/runners.go
+++ b/entry/runners.go
@@ -20,58 +20,58 @@
 )
 
 const (
-	// runnerWait is the maximum long-poll wait for endpoint changes. It bounds how late a silent loss
+	// endpointsMaxWait is the maximum long-poll wait for endpoint changes. It bounds how late a silent loss
 	// of the store is noticed, and adds to the age of every list.
-	runnerWait = 1500 * time.Millisecond
-	// waitShare limits that wait to a share of the bound on leaving endpoints. With one round of
+	endpointsMaxWait = 1500 * time.Millisecond
+	// drainWaitShare limits that wait to a share of the bound on leaving endpoints. With one round of
 	// questions between daemons, a list is then at most 0.6 of the bound old.
-	waitShare = 0.35
-	// lapseHold is how long after an outage of the store an endpoint with a missing entry is still
+	drainWaitShare = 0.35
+	// missingGrace is how long after an outage of the store an endpoint with a missing entry is still
 	// used. Entries that expired during the outage are back within about 2 s, and a change takes some
 	// time to arrive here.
-	lapseHold = 2300 * time.Millisecond
+	missingGrace = 2300 * time.Millisecond
 )
 
-// runnerKeeper updates the pools from the endpoints' entries in the store.
-type runnerKeeper struct {
+// endpointTracker updates the pools from the endpoints' entries in the store.
+type endpointTracker struct {
 	d     *Daemon
 	fresh Freshness // of the list
 
-	mu       sync.Mutex
-	version  int64 // store version up to which the list is complete
-	changed  int64 // store version at which the list last changed
-	byID     map[string]platform.Runner
-	rows     map[string]heldRow   // the endpoints' entries, for other daemons
-	ended    map[string]int64     // store versions at which entries were removed, for other daemons
-	floor    int64                // removals up to this store version are not in ended
-	missing  map[string]bool      // entries that disappeared around an outage of the store
-	unnamed  map[string]bool      // endpoints of services that the catalog does not name
-	bad      map[string]int64     // store versions of invalid entries, as last logged
-	readAt   time.Time            // when the first complete list arrived; zero before
-	found    map[string]time.Time // when each endpoint was found
-	failedAt time.Time            // the last failure of the store, or its recovery after that
-	away     bool                 // the store has not answered since failedAt
+	mu        sync.Mutex
+	version   int64 // store version up to which the list is complete
+	changed   int64 // store version at which the list last changed
+	byID      map[string]platform.Runner
+	rows      map[string]storedRow // the endpoints' entries, for other daemons
+	removed   map[string]int64     // store versions at which entries were removed, for other daemons
+	floor     int64                // removals up to this store version are not in removed
+	missing   map[string]bool      // entries that disappeared around an outage of the store
+	unnamed   map[string]bool      // endpoints of services that the catalog does not name
+	invalid   map[string]int64     // store versions of invalid entries, as last logged
+	readAt    time.Time            // when the first complete list arrived; zero before
+	found     map[string]time.Time // when each endpoint was found
+	failedAt  time.Time            // the last failure of the store, or its recovery after that
+	storeDown bool                 // the store has not answered since failedAt
 }
 
-// heldRow is an entry as stored, with the store version at which this daemon applied it.
-type heldRow struct {
+// storedRow is an entry as stored, with the store version at which this daemon applied it.
+type storedRow struct {
 	value []byte
 	at    int64
 }
 
-// endedMost is the maximum number of removed entries that are remembered, at about 50 bytes each. A
+// maxRemoved is the maximum number of removed entries that are remembered, at about 50 bytes each. A
 // daemon that is further behind gets the complete list.
-const endedMost = 512
+const maxRemoved = 512
 
-func newRunnerKeeper(d *Daemon) runnerKeeper {
-	return runnerKeeper{
-		d: d, byID: make(map[string]platform.Runner), rows: make(map[string]heldRow), ended: make(map[string]int64),
-		missing: make(map[string]bool), unnamed: make(map[string]bool), bad: make(map[string]int64), found: make(map[string]time.Time),
+func newEndpointTracker(d *Daemon) endpointTracker {
+	return endpointTracker{
+		d: d, byID: make(map[string]platform.Runner), rows: make(map[string]storedRow), removed: make(map[string]int64),
+		missing: make(map[string]bool), unnamed: make(map[string]bool), invalid: make(map[string]int64), found: make(map[string]time.Time),
 	}
 }
 
 // follow reads the changes of the endpoints' table until ctx ends.
-func (k *runnerKeeper) follow(ctx context.Context) {
+func (k *endpointTracker) follow(ctx context.Context) {
 	f := feeder{d: k.d, table: platform.RunnerTable, wait: k.wait, name: "endpoints"}
 	f.run(ctx, k.current, func(now, sent time.Time, p platform.Page, whole bool) error {
 		k.storeBack(now)
@@ -82,8 +82,8 @@
 }
 
 // wait returns how long the store may hold the next long poll.
-func (k *runnerKeeper) wait() time.Duration {
-	most := min(runnerWait, time.Duration(waitShare*float64(k.d.Site().Bounds.Drain)))
+func (k *endpointTracker) wait() time.Duration {
+	most := min(endpointsMaxWait, time.Duration(drainWaitShare*float64(k.d.Site().Bounds.Drain)))
 	if age, ok := k.fresh.Age(clock.Now()); ok {
 		return FeedWait(age, k.d.listBound(), most)
 	}
@@ -92,7 +92,7 @@
 
 // take applies rows read at a store version. An endpoint whose entry disappears right after an outage
 // of the store is still used for a while.
-func (k *runnerKeeper) take(now time.Time, version int64, rows []platform.Row, whole bool) {
+func (k *endpointTracker) take(now time.Time, version int64, rows []platform.Row, whole bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if version < k.version {
@@ -108,31 +108,31 @@
 			continue
 		}
 		if row.Removed {
-			k.gone(now, row.Key)
+			k.entryRemoved(now, row.Key)
 			continue
 		}
 		if old, ok := k.rows[row.Key]; ok && bytes.Equal(old.value, row.Value) {
 			there[row.Key] = true
 			if !whole {
-				k.rows[row.Key] = heldRow{old.value, version} // the entry changed and changed back
+				k.rows[row.Key] = storedRow{old.value, version} // the entry changed and changed back
 			}
 			continue
 		}
 		r, err := platform.ReadRunner(row)
 		if err != nil {
-			k.leaveOut(row, err)
+			k.ignoreInvalid(row, err)
 			continue
 		}
-		delete(k.bad, r.ID)
+		delete(k.invalid, r.ID)
 		there[r.ID] = true
-		k.rows[r.ID] = heldRow{row.Value, version}
-		delete(k.ended, r.ID)
+		k.rows[r.ID] = storedRow{row.Value, version}
+		delete(k.removed, r.ID)
 		k.set(now, r)
 	}
 	if whole {
 		for id := range k.byID {
 			if !there[id] {
-				k.gone(now, id)
+				k.entryRemoved(now, id)
 			}
 		}
 		if k.readAt.IsZero() {
@@ -142,7 +142,7 @@
 }
 
 // set adds or updates an endpoint. The caller holds the lock.
-func (k *runnerKeeper) set(now time.Time, r platform.Runner) {
+func (k *endpointTracker) set(now time.Time, r platform.Runner) {
 	old, known := k.byID[r.ID]
 	fields := logrus.Fields{
 		"part": "endpoints", "endpoint": r.ID, "born": r.Born, "service": r.Service, "software": r.Version, "zone": r.Zone, "address": r.Address, "reclaimable": r.Reclaimable,
@@ -161,7 +161,7 @@
 		k.found[r.ID] = now
 		k.d.log.WithFields(fields).WithField("again", restarted).Info("endpoint found")
 	}
-	t := k.pooled(r)
+	t := k.addToPool(r)
 	if r.Leaving && !(known && !restarted && old.Leaving) && t != nil {
 		left := r.LeavesIn
 		if left <= 0 {
@@ -172,9 +172,9 @@
 	}
 }
 
-// pooled adds an endpoint to its service's pool. If the catalog does not name the service, the entry
+// addToPool adds an endpoint to its service's pool. If the catalog does not name the service, the entry
 // may belong to another writer; it is set aside until the catalog does.
-func (k *runnerKeeper) pooled(r platform.Runner) *request.Target {
+func (k *endpointTracker) addToPool(r platform.Runner) *request.Target {
 	if !k.d.named(r.Service) {
 		k.unnamed[r.ID] = true
 		return nil
@@ -192,7 +192,7 @@
 }
 
 // endStart ends this daemon's requests at an earlier start of an endpoint.
-func (k *runnerKeeper) endStart(old platform.Runner) {
+func (k *endpointTracker) endStart(old platform.Runner) {
 	if k.unnamed[old.ID] {
 		return
 	}
@@ -200,26 +200,26 @@
 }
 
 // catalogChanged adds the endpoints of services that a new catalog names to their pools.
-func (k *runnerKeeper) catalogChanged(now time.Time) {
+func (k *endpointTracker) catalogChanged(now time.Time) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for id := range k.unnamed {
 		r := k.byID[id]
-		if t := k.pooled(r); t != nil && r.Leaving {
+		if t := k.addToPool(r); t != nil && r.Leaving {
 			t.Leave(now.Add(max(r.LeavesIn, k.d.Site().Bounds.Drain)))
 		}
 	}
 }
 
-// leaveOut removes the endpoint of an invalid entry. Each version of an entry is logged once.
-func (k *runnerKeeper) leaveOut(row platform.Row, err error) {
+// ignoreInvalid removes the endpoint of an invalid entry. Each version of an entry is logged once.
+func (k *endpointTracker) ignoreInvalid(row platform.Row, err error) {
 	var bad *platform.BadEntry
-	if errors.As(err, &bad) && (k.bad[row.Key] != row.Version || row.Version == 0) {
-		if len(k.bad) >= endedMost {
-			clear(k.bad)
+	if errors.As(err, &bad) && (k.invalid[row.Key] != row.Version || row.Version == 0) {
+		if len(k.invalid) >= maxRemoved {
+			clear(k.invalid)
 		}
-		k.bad[row.Key] = row.Version
-		k.d.meters.leftOut(bad.Reason)
+		k.invalid[row.Key] = row.Version
+		k.d.meters.invalidEntry(bad.Reason)
 		k.d.log.WithFields(logrus.Fields{"part": "endpoints", "endpoint": row.Key, "version": row.Version, "reason": bad.Reason}).
 			Warnf("invalid entry ignored: %s", bad.Detail)
 	}
@@ -228,30 +228,30 @@
 	}
 }
 
-// gone drops an endpoint whose entry was removed, or marks it as missing if an outage of the store may
-// be the cause.
-func (k *runnerKeeper) gone(now time.Time, id string) {
+// entryRemoved drops an endpoint whose entry was removed, or marks it as missing if an outage of the
+// store may be the cause.
+func (k *endpointTracker) entryRemoved(now time.Time, id string) {
 	r, ok := k.byID[id]
 	if !ok {
 		return
 	}
-	if !k.failedAt.IsZero() && now.Sub(k.failedAt) < lapseHold && !r.Leaving {
+	if !k.failedAt.IsZero() && now.Sub(k.failedAt) < missingGrace && !r.Leaving {
 		if !k.missing[id] {
 			k.d.log.WithFields(logrus.Fields{"part": "endpoints", "endpoint": id}).Info("entry missing after an outage of the store, endpoint still used")
 		}
 		k.missing[id] = true
-		k.unlist(id) // daemons that had no outage need not keep it
+		k.recordRemoval(id) // daemons that had no outage need not keep it
 		return
 	}
 	k.drop(id, r)
 }
 
 // drop forgets an endpoint and removes it from its pool. The caller holds the lock.
-func (k *runnerKeeper) drop(id string, r platform.Runner) {
+func (k *endpointTracker) drop(id string, r platform.Runner) {
 	delete(k.byID, id)
 	delete(k.missing, id)
 	delete(k.found, id)
-	k.unlist(id)
+	k.recordRemoval(id)
 	if !k.unnamed[id] {
 		k.d.work(r.Service).Pool.Forget(id)
 	}
@@ -259,24 +259,24 @@
 	k.d.log.WithFields(logrus.Fields{"part": "endpoints", "endpoint": id, "service": r.Service}).Info("endpoint gone")
 }
 
-// unlist records the removal of an entry, for other daemons.
-func (k *runnerKeeper) unlist(id string) {
+// recordRemoval records the removal of an entry, for other daemons.
+func (k *endpointTracker) recordRemoval(id string) {
 	if _, ok := k.rows[id]; !ok {
 		return
 	}
 	delete(k.rows, id)
-	if len(k.ended) >= endedMost {
-		clear(k.ended)
+	if len(k.removed) >= maxRemoved {
+		clear(k.removed)
 		k.floor = k.version
 	}
-	k.ended[id] = k.version
+	k.removed[id] = k.version
 }
 
-// tick drops the endpoints that are still missing when lapseHold is over.
-func (k *runnerKeeper) tick(now time.Time) {
+// tick drops the endpoints that are still missing when missingGrace is over.
+func (k *endpointTracker) tick(now time.Time) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if now.Sub(k.failedAt) < lapseHold {
+	if now.Sub(k.failedAt) < missingGrace {
 		return
 	}
 	for id := range k.missing {
@@ -285,23 +285,23 @@
 }
 
 // storeFailed records that the store answers no daemon.
-func (k *runnerKeeper) storeFailed(now time.Time) {
+func (k *endpointTracker) storeFailed(now time.Time) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.failedAt, k.away = now, true
+	k.failedAt, k.storeDown = now, true
 }
 
-// storeBack records that the store answers. Expired entries have lapseHold from then on to come back.
-func (k *runnerKeeper) storeBack(now time.Time) {
+// storeBack records that the store answers. Expired entries have missingGrace from then on to come back.
+func (k *endpointTracker) storeBack(now time.Time) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if k.away {
-		k.failedAt, k.away = now, false
+	if k.storeDown {
+		k.failedAt, k.storeDown = now, false
 	}
 }
 
 // current returns the version of the store up to which the list is complete.
-func (k *runnerKeeper) current() int64 {
+func (k *endpointTracker) current() int64 {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.version
@@ -310,7 +310,7 @@
 // since returns the entries changed after a store version, with removed ones marked, and the store
 // version up to which they are complete. If the removals are no longer all remembered, it returns all
 // entries, and whole is true.
-func (k *runnerKeeper) since(version int64) (now int64, rows []platform.Row, whole bool) {
+func (k *endpointTracker) since(version int64) (now int64, rows []platform.Row, whole bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.changed <= version {
@@ -322,7 +322,7 @@
 			rows = append(rows, platform.Row{Table: platform.RunnerTable, Key: id, Value: r.value})
 		}
 	}
-	for id, at := range k.ended {
+	for id, at := range k.removed {
 		if !whole && at > version {
 			rows = append(rows, platform.Row{Table: platform.RunnerTable, Key: id, Removed: true})
 		}
@@ -331,15 +331,15 @@
 }
 
 // known reports whether a complete list of endpoints has arrived.
-func (k *runnerKeeper) known() bool {
+func (k *endpointTracker) known() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return !k.readAt.IsZero()
 }
 
-// knownFor returns the time since the first complete list, negative if there was none, and the share
+// firstListAge returns the time since the first complete list, negative if there was none, and the share
 // of endpoints found within the last span.
-func (k *runnerKeeper) knownFor(now time.Time, span time.Duration) (read time.Duration, late float64) {
+func (k *endpointTracker) firstListAge(now time.Time, span time.Duration) (read time.Duration, late float64) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.readAt.IsZero() {
@@ -355,7 +355,7 @@
 }
 
 // listedFor returns the time since an endpoint was found, or 0 if it is unknown.
-func (k *runnerKeeper) listedFor(now time.Time, id string) time.Duration {
+func (k *endpointTracker) listedFor(now time.Time, id string) time.Duration {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	at, ok := k.found[id]
@@ -366,7 +366,7 @@
 }
 
 // all returns the known endpoints.
-func (k *runnerKeeper) all() []platform.Runner {
+func (k *endpointTracker) all() []platform.Runner {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return slices.Collect(maps.Values(k.byID))
--- a/entry/scale.go
+++ b/entry/scale.go
@@ -141,7 +141,7 @@
 // countable reports whether all endpoints that existed at the start have probably been found.
 func (x *scaleDuty) countable(now time.Time) bool {
 	beats := func(n float64) time.Duration { return time.Duration(n * float64(x.d.Site().Bounds.Heartbeat)) }
-	read, late := x.d.runners.knownFor(now, beats(recentHeartbeats))
+	read, late := x.d.runners.firstListAge(now, beats(recentHeartbeats))
 	return read >= beats(minCountHeartbeats) && (late <= maxRecentShare || read >= beats(maxCountHeartbeats))
 }
 
@@ -320,7 +320,7 @@
 
 // initialCounts returns the service's initial endpoint count by zone. The first lease holder ever stores it.
 func (x *scaleDuty) initialCounts(ctx context.Context, service string, live map[capacity.Kind]int) (map[string]int, error) {
-	ctx, cancel := context.WithTimeout(ctx, 2*answerLimit)
+	ctx, cancel := context.WithTimeout(ctx, 2*storeCallTimeout)
 	defer cancel()
 	rows, err := x.d.store.Rows(ctx, scaleTable, service, "")
 	if err != nil {
--- a/entry/stop.go
+++ b/entry/stop.go
@@ -26,7 +26,7 @@
 func (d *Daemon) Stop(ctx context.Context) {
 	began := time.Now()
 	d.stopping.Store(true)
-	d.judgeReady(clock.Now())
+	d.updateReady(clock.Now())
 	d.inbound.Drain()
 	d.inbound.CloseIdle(began)
 	freeing := ctx
@@ -36,7 +36,7 @@
 	unready, cancelWait := context.WithTimeout(ctx, unreadyWait)
 	d.closeIdle(unready, false)
 	cancelWait()
-	d.accepting.Close() // only the listener; the server goes on with its connections
+	d.callerListener.Close() // only the listener; the server goes on with its connections
 	open := d.closeIdle(ctx, true)
 	d.gossip(clock.Now())
 	d.Hub.Leave(time.Now())
@@ -68,5 +68,5 @@
 	d.Hub.Close()
 	d.wg.Wait()
 	d.Server.Client.Close()
-	d.outside.CloseIdleConnections()
+	d.externalClient.CloseIdleConnections()
 }
--- a/entry/transfer.go
+++ b/entry/transfer.go
@@ -21,8 +21,8 @@
 	// pieceSize is the size of a piece in bytes. On a link of 10 Mbit/s a piece takes 13 ms, or 0.3 s
 	// when 24 daemons ask at once, of the 0.7 s that an answer may take.
 	pieceSize = 16 << 10
-	// unpackMost is the maximum size in bytes of a decompressed catalog.
-	unpackMost = 64 << 20
+	// maxCatalogSize is the maximum size in bytes of a decompressed catalog.
+	maxCatalogSize = 64 << 20
 )
 
 // packed is a compressed catalog.
@@ -50,9 +50,9 @@
 
 // unpack decompresses a catalog.
 func unpack(data []byte) ([]byte, error) {
-	b, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(data)), unpackMost+1))
-	if err == nil && len(b) > unpackMost {
-		err = errors.Errorf("size exceeds %d bytes", unpackMost)
+	b, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(data)), maxCatalogSize+1))
+	if err == nil && len(b) > maxCatalogSize {
+		err = errors.Errorf("size exceeds %d bytes", maxCatalogSize)
 	}
 	return b, errors.Wrap(err, "entry: decompress catalog")
 }
@@ -73,9 +73,9 @@
 	Data    []byte `codec:"d"`
 }
 
-// shelf caches the compressed catalogs that other daemons fetch: the newest, and the previous one,
+// packedCache caches the compressed catalogs that other daemons fetch: the newest, and the previous one,
 // which some may still be fetching. The zero value is ready.
-type shelf struct {
+type packedCache struct {
 	mu     sync.Mutex
 	newest *packed
 	before *packed
@@ -83,7 +83,7 @@
 
 // next returns the next piece for a daemon: of the catalog it is fetching if that is still cached, or
 // else the first piece of the newest one, or nil if that is older.
-func (s *shelf) next(f *inForce, got progress) (*piece, error) {
+func (s *packedCache) next(f *inForce, got progress) (*piece, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.newest == nil || s.newest.version != f.catalog.Version {
--- a/entry/usage.go
+++ b/entry/usage.go
@@ -17,13 +17,13 @@
 const (
 	// usageTable is the store table of the usage reports, one row per window.
 	usageTable = "streambend-usage"
-	// usageSettle is the delay of a report after the end of its window. By then the tallies of all
+	// reportDelay is the delay of a report after the end of its window. By then the tallies of all
 	// daemons have arrived, and a failed report can be sent again before it is late.
-	usageSettle = 1800 * time.Millisecond
-	// usageBack is how many windows before the current one a new lease holder starts to report.
-	usageBack = 3
-	// usageKept is for how many windows the reports stay in the store.
-	usageKept = 12
+	reportDelay = 1800 * time.Millisecond
+	// reportBacklog is how many windows before the current one a new lease holder starts to report.
+	reportBacklog = 3
+	// reportRetention is for how many windows the reports stay in the store.
+	reportRetention = 12
 )
 
 // usageDuty reports how many requests of each team began in each window. The counts of a window are
@@ -36,7 +36,7 @@
 
 // begin starts a lease term.
 func (u *usageDuty) begin(now time.Time) {
-	if first := u.d.window(now) - usageBack; first > u.next {
+	if first := u.d.window(now) - reportBacklog; first > u.next {
 		u.next = first
 	}
 }
@@ -44,7 +44,7 @@
 // step reports the windows that are due.
 func (u *usageDuty) step(ctx context.Context, x *duties) {
 	for ; u.due(clock.Now()); u.next++ {
-		if _, _, ok := x.mayAct(clock.Now()); !ok {
+		if _, _, ok := x.mayCall(clock.Now()); !ok {
 			return
 		}
 		if err := u.report(ctx, x, u.next); err != nil {
@@ -54,10 +54,10 @@
 	}
 }
 
-// due reports whether the next window ended at least usageSettle ago.
+// due reports whether the next window ended at least reportDelay ago.
 func (u *usageDuty) due(now time.Time) bool {
 	end := time.Unix(0, (u.next+1)*u.d.Site().Bounds.UsageWindow.Nanoseconds())
-	return !u.d.wall.At(now).Before(end.Add(usageSettle))
+	return !u.d.wall.At(now).Before(end.Add(reportDelay))
 }
 
 // report commits and sends the report of a window.
@@ -82,12 +82,12 @@
 		return nil, err
 	}
 	key := strconv.FormatInt(window, 10)
-	call, cancel := context.WithTimeout(ctx, answerLimit)
+	call, cancel := context.WithTimeout(ctx, storeCallTimeout)
 	defer cancel()
 	_, err = u.d.store.Apply(call, platform.Change{
 		If:     []platform.Condition{{Table: usageTable, Key: key}},
 		Write:  []platform.Row{{Table: usageTable, Key: key, Value: body}},
-		Remove: []platform.Row{{Table: usageTable, Key: strconv.FormatInt(window-usageKept, 10)}},
+		Remove: []platform.Row{{Table: usageTable, Key: strconv.FormatInt(window-reportRetention, 10)}},
 	})
 	if err == nil {
 		return body, nil
