--- a/entry/duties.go
+++ b/entry/duties.go
@@ -19,129 +19,130 @@
 )
 
 const (
-	// dutyShard names the one lease under which all duties are done.
-	dutyShard = "duties"
-	// dutyTerm is the term of the lease: it outlasts a slow store's renewal, and
-	// leaves a successor time for a report that is due in 10 s.
-	dutyTerm = 3 * time.Second
-	// dutyMargin is how long before its end a holder stops to act: its last call
-	// has arrived, or is lost, when the next holder begins.
-	dutyMargin = 900 * time.Millisecond
-	// dutyPeriod is how often the holder renews and others look, dutyStep how
-	// often the holder looks for work.
-	dutyPeriod = 900 * time.Millisecond
-	dutyStep   = 250 * time.Millisecond
-	// dutyWatch is how often the others look at a lease whose holder they know
-	// to be alive.
-	dutyWatch = 2500 * time.Millisecond
-	// dutySettle is how long after its start a daemon leaves the duties to others at
-	// least: by then those that start together have read each other's rows, and only
-	// the readers of many look at the lease. Each of 60 had looked at it and tried to
-	// take it, which was a third of the calls of their start.
-	dutySettle = 500 * time.Millisecond
-	// rosterSettle is for how long a daemon that starts must have known the same daemons, and
-	// rosterMost until when it heeds that: as 60 start at once, one that has not heard of its zone's
-	// reader yet takes itself for that, and the lease goes from hand to hand.
-	rosterSettle = 2 * dutyStep
-	rosterMost   = 3 * time.Second
-	// dutyPatience is how long the store may fail a holder until it leaves the
-	// duties to others: within it falls the next renewal.
-	dutyPatience = time.Second
-	// dutyCall bounds a call to the cloud API.
-	dutyCall = 1500 * time.Millisecond
+	// dutyLease is the name of the single lease for all duties.
+	dutyLease = "duties"
+	// leaseTerm is the term of the lease. It exceeds a renewal at a slow store, and leaves a successor
+	// time for a report that is due within 10 s.
+	leaseTerm = 3 * time.Second
+	// leaseMargin is how long before the end of the term the holder stops making calls, so that its
+	// last call has arrived or is lost when the next holder begins.
+	leaseMargin = 900 * time.Millisecond
+	// leaseRenewPeriod is how often the holder renews the lease and other daemons check it, and dutyPeriod
+	// how often the holder checks for work.
+	leaseRenewPeriod = 900 * time.Millisecond
+	dutyPeriod       = 250 * time.Millisecond
+	// leaseWatchPeriod is how often other daemons check a lease whose holder they know to be alive.
+	leaseWatchPeriod = 2500 * time.Millisecond
+	// minLeaseUptime is the minimum time after its start before a daemon tries to take the lease. By then,
+	// daemons that start together have read each other's rows, and only the readers of a large fleet
+	// check the lease. Without it, each of 60 daemons tried to take the lease, which was a third of
+	// the calls of their start.
+	minLeaseUptime = 500 * time.Millisecond
+	// rosterStableTime is how long the roster must be unchanged before a starting daemon tries to take the
+	// lease; rosterStableLimit after the start this no longer applies. When 60 daemons start at once, one
+	// that does not know its zone's reader yet considers itself the reader, and the lease keeps
+	// changing hands.
+	rosterStableTime  = 2 * dutyPeriod
+	rosterStableLimit = 3 * time.Second
+	// renewFailureLimit is how long renewals may fail until the holder gives the lease up. The next renewal
+	// falls within it.
+	renewFailureLimit = time.Second
+	// cloudCallTimeout is the timeout of a call to the cloud API.
+	cloudCallTimeout = 1500 * time.Millisecond
 )
 
-// duties are the calls that one daemon at a time makes.
+// duties runs the tasks that only one daemon at a time performs, under a lease.
 type duties struct {
 	d       *Daemon
-	gate    gate // over the lease and what follows from it: a planned stop gives it up from outside
-	calls   gate // over a call under the lease, which must be over before that is freed
+	gate    gate // guards the lease and what depends on it; a planned stop releases it concurrently
+	calls   gate // held during a call under the lease, which must end before the lease is released
 	lease   version.Lease
 	usage   usageDuty
 	scale   scaleDuty
 	rollout rolloutDuty
 
-	held    bool
-	failing time.Time // since when renewals fail; zero while they do not
-	began   time.Time // of this process
-	roster  *Roster   // as last looked at, and since when it is so
-	since   time.Time
-	acted   time.Time    // the end of the last call that this process has made
-	actFrom time.Time    // earlier, this daemon might be seen to alternate with another
-	freed   atomic.Int64 // epoch whose holder has said that it acts no more
+	held         bool
+	failingSince time.Time    // since when renewals fail; zero while they succeed
+	began        time.Time    // start of this process
+	roster       *Roster      // as last seen
+	rosterSince  time.Time    // when the roster last changed
+	lastCall     time.Time    // end of this process's last call
+	callsFrom    time.Time    // before this, a call could look like alternation with another holder
+	freedEpoch   atomic.Int64 // latest epoch whose holder has released the lease
 }
 
 func newDuties(d *Daemon) *duties {
-	x := &duties{d: d, gate: newGate(), calls: newGate(), lease: version.Lease{Shard: dutyShard, Self: instanceOf(d.Self), Term: dutyTerm, Margin: dutyMargin}, began: clock.Now()}
+	x := &duties{d: d, gate: newGate(), calls: newGate(), lease: version.Lease{Shard: dutyLease, Self: instanceOf(d.Self), Term: leaseTerm, Margin: leaseMargin}, began: clock.Now()}
 	x.usage = usageDuty{d: d, done: make(map[int64]bool)}
 	x.scale = newScaleDuty(d)
 	x.rollout = rolloutDuty{d: d}
 	return x
 }
 
-// run renews the lease and does what is due until ctx ends.
+// run renews the lease and performs the duties until ctx ends.
 func (x *duties) run(ctx context.Context) {
 	if x.d.Site().Cloud == "" || !(x.d.Site().Duties.Usage || x.d.Site().Duties.Scaling) {
 		return
 	}
 	var renewed time.Time
 	for ctx.Err() == nil {
-		clock.Look() // the term may have ended in the box's sleep
+		clock.Look() // the term may have ended while the box was suspended
 		now := clock.Now()
-		able := x.able(now)
+		able := x.eligible(now)
 		if !able && x.holds() {
 			x.release(ctx)
 		}
-		if able && now.Sub(renewed) >= x.period() && !x.d.stopping.Load() {
+		if able && now.Sub(renewed) >= x.checkPeriod() && !x.d.stopping.Load() {
 			renewed = now
 			x.step(ctx, now)
 		}
 		x.scale.observe(now)
-		if _, _, ok := x.mayAct(clock.Now()); ok {
-			x.act(ctx)
+		if _, _, ok := x.mayCall(clock.Now()); ok {
+			x.stepDuties(ctx)
 		}
-		sleep(ctx, dutyStep)
+		sleep(ctx, dutyPeriod)
 	}
 }
 
-// able reports whether this daemon may have the lease: it knows how many daemons there
-// are, and where they are many, only the readers know all tallies.
-func (x *duties) able(now time.Time) bool {
+// eligible reports whether this daemon may hold the lease: it must know how many daemons there are, and
+// in a large fleet it must be a reader, as only readers know all tallies.
+func (x *duties) eligible(now time.Time) bool {
 	if r := x.d.roster(); r != x.roster {
-		x.roster, x.since = r, now
+		x.roster, x.rosterSince = r, now
 	}
-	// Only to take it: a holder that gave it up for this would let another act, and take it back.
-	settled := x.holds() || now.Sub(x.began) >= dutySettle && (now.Sub(x.since) >= rosterSettle || now.Sub(x.began) >= rosterMost)
+	// This applies only to taking the lease: a holder that released it for this would let another
+	// daemon act, and then take it back.
+	settled := x.holds() || now.Sub(x.began) >= minLeaseUptime && (now.Sub(x.rosterSince) >= rosterStableTime || now.Sub(x.began) >= rosterStableLimit)
 	return x.d.contact.counted.Load() && settled && (!x.d.many() || x.d.isReader())
 }
 
-// holds reports whether the lease was ours when it was last looked at.
+// holds reports whether this daemon held the lease when it last checked.
 func (x *duties) holds() bool {
 	x.gate.lock()
 	defer x.gate.unlock()
 	return x.held
 }
 
-// period is how long after a look at the lease the next is due.
-func (x *duties) period() time.Duration {
+// checkPeriod returns the time between two checks of the lease.
+func (x *duties) checkPeriod() time.Duration {
 	x.gate.lock()
 	defer x.gate.unlock()
 	holder := x.lease.Holder()
-	if x.held || holder.Holder == "" || holder.Free || x.freed.Load() >= holder.Epoch {
-		return dutyPeriod
+	if x.held || holder.Holder == "" || holder.Free || x.freedEpoch.Load() >= holder.Epoch {
+		return leaseRenewPeriod
 	}
 	for _, m := range x.d.others() {
-		if m.Name == nodeOf(holder.Holder) && m.State == conn.MemberAlive && instanceOf(m) == holder.Holder {
-			return dutyWatch
+		if m.Name == daemonOf(holder.Holder) && m.State == conn.MemberAlive && instanceOf(m) == holder.Holder {
+			return leaseWatchPeriod
 		}
 	}
-	return dutyPeriod
+	return leaseRenewPeriod
 }
 
-// abandoned returns the newest epoch whose holder is known to act no more: it has
-// said so, or its daemon has started anew since.
+// abandoned returns the newest epoch whose holder is known to make no more calls: it has released the
+// lease, or its daemon has restarted since.
 func (x *duties) abandoned(row version.LeaseRow) int64 {
-	freed := x.freed.Load()
+	freed := x.freedEpoch.Load()
 	if row.Epoch <= freed || row.Holder == instanceOf(x.d.Self) {
 		return freed
 	}
@@ -153,42 +154,42 @@
 	return freed
 }
 
-// hearFreed takes in that the holder of an epoch acts no more.
-func (x *duties) hearFreed(epoch int64) {
-	if x.freed.Load() < epoch {
-		x.freed.Store(epoch)
+// noteFreed records that the holder of an epoch has released the lease.
+func (x *duties) noteFreed(epoch int64) {
+	if x.freedEpoch.Load() < epoch {
+		x.freedEpoch.Store(epoch)
 	}
 }
 
-// step renews the lease, or takes it.
+// step renews the lease, or tries to take it.
 func (x *duties) step(ctx context.Context, now time.Time) {
 	x.gate.lock()
 	defer x.gate.unlock()
 	before := x.lease.Holder()
 	x.lease.Abandoned = x.abandoned(before)
-	call, cancel := context.WithTimeout(ctx, answerLimit)
+	call, cancel := context.WithTimeout(ctx, storeCallTimeout)
 	err := x.lease.Step(call, now, x.d.table)
 	cancel()
 	epoch, held := x.lease.Held(clock.Now())
 	fields := logrus.Fields{"part": "duties", "epoch": epoch, "holder": x.lease.Holder().Holder}
 	if held && !x.held {
 		before = x.lease.Replaced()
-		x.actFrom = x.mayAlternate(before.Holder)
+		x.callsFrom = x.earliestCall(before.Holder)
 		x.usage.begin(clock.Now())
 		x.scale.begin()
 		x.rollout.begin()
-		x.d.log.WithFields(fields).Infof("lease taken, held before by %q", before.Holder)
+		x.d.log.WithFields(fields).Infof("lease taken, previous holder %q", before.Holder)
 	}
 	if err != nil && held {
-		if x.failing.IsZero() {
-			x.failing = now
+		if x.failingSince.IsZero() {
+			x.failingSince = now
 		}
-		if now.Sub(x.failing) >= dutyPatience && len(x.d.others()) > 0 {
-			x.giveUp(clock.Now())
+		if now.Sub(x.failingSince) >= renewFailureLimit && len(x.d.others()) > 0 {
+			x.dropLease(clock.Now())
 			held = false
 		}
 	} else {
-		x.failing = time.Time{}
+		x.failingSince = time.Time{}
 	}
 	if !held && x.held {
 		x.d.log.WithFields(fields).Warnf("lease lost: %v", err)
@@ -196,40 +197,40 @@
 	x.held = held
 }
 
-// mayAlternate returns from when on this daemon may act after another: three
-// calls in turn by it, the other and it again must not fall within the bound. A
-// process that has just begun does not know when its daemon acted last.
-func (x *duties) mayAlternate(before string) time.Time {
-	if before == "" || nodeOf(before) == x.d.Self.Name {
+// earliestCall returns the earliest time at which this daemon may make a call after another holder:
+// calls by this daemon, the other and this daemon again must not fall within the lease bound. A new
+// process does not know when its daemon made its last call, and counts from its start.
+func (x *duties) earliestCall(before string) time.Time {
+	if before == "" || daemonOf(before) == x.d.Self.Name {
 		return time.Time{}
 	}
 	last := x.began
-	if x.acted.After(last) {
-		last = x.acted
+	if x.lastCall.After(last) {
+		last = x.lastCall
 	}
 	return last.Add(x.d.Site().Bounds.Lease)
 }
 
-// giveUp ends the term of a holder that the store does not answer, and tells the
-// others, so that one which it answers need not wait the term out.
-func (x *duties) giveUp(now time.Time) {
+// dropLease drops the lease when the store does not answer this daemon, and tells the other daemons, so
+// that one with access to the store need not wait for the end of the term.
+func (x *duties) dropLease(now time.Time) {
 	epoch, held := x.lease.Held(now)
 	if !held {
 		return
 	}
 	x.lease.Drop()
 	x.held = false
-	x.d.log.WithFields(logrus.Fields{"part": "duties", "epoch": epoch}).Warn("lease given up, the store does not answer")
+	x.d.log.WithFields(logrus.Fields{"part": "duties", "epoch": epoch}).Warn("lease given up: the store does not answer")
 	x.d.Hub.Tell(conn.Payload{Freed: epoch})
 }
 
-// nodeOf returns the daemon's name in the name of one of its starts.
-func nodeOf(instance string) string {
+// daemonOf returns the daemon name in an instance name.
+func daemonOf(instance string) string {
 	node, _ := splitInstance(instance)
 	return node
 }
 
-// splitInstance takes what instanceOf has made apart.
+// splitInstance splits an instance name, as instanceOf returns it, into daemon name and start time.
 func splitInstance(instance string) (node string, start int64) {
 	at := strings.LastIndexByte(instance, '#')
 	if at < 0 {
@@ -242,39 +243,40 @@
 	return instance[:at], start
 }
 
-// mayAct returns the fence to act under, if the lease allows to act now, and until
-// when a call must have arrived.
-func (x *duties) mayAct(now time.Time) (f platform.Fence, until time.Time, ok bool) {
+// mayCall returns the fencing token to use and the time by which a call must have arrived; ok is false
+// if the lease does not allow a call now.
+func (x *duties) mayCall(now time.Time) (f platform.Fence, until time.Time, ok bool) {
 	x.gate.lock()
 	defer x.gate.unlock()
 	epoch, held := x.lease.Held(now)
-	if !held || now.Before(x.actFrom) || x.d.stopping.Load() {
+	if !held || now.Before(x.callsFrom) || x.d.stopping.Load() {
 		return f, until, false
 	}
 	return platform.Fence{Holder: x.d.Self.Name, Token: epoch}, x.lease.Ends(), true
 }
 
-var errNoLease = errors.New("entry: the lease is over")
+var errNoLease = errors.New("entry: the lease is not held")
 
-// call makes a call to the cloud API under the lease as it stands then: what allowed
-// to begin a report may be over when the store has taken that down. The call ends
-// with the term, and the lease is not freed while it is under way.
+// call makes a call to the cloud API under the current lease. It checks the lease anew, as that may
+// have ended since, for instance while the store committed a report. The call is cancelled at the end
+// of the term, and the lease is not released during the call.
 func (x *duties) call(ctx context.Context, do func(context.Context, platform.Fence) error) error {
 	x.calls.lock()
 	defer x.calls.unlock()
-	clock.Look() // as above, at the last step before the call
+	clock.Look() // the box may have been suspended; check again just before the call
 	now := clock.Now()
-	f, until, ok := x.mayAct(now)
+	f, until, ok := x.mayCall(now)
 	if !ok {
 		return errNoLease
 	}
-	ctx, cancel := context.WithTimeout(ctx, min(dutyCall, until.Sub(now)))
+	ctx, cancel := context.WithTimeout(ctx, min(cloudCallTimeout, until.Sub(now)))
 	defer cancel()
-	defer func() { x.acted = clock.Now() }()
+	defer func() { x.lastCall = clock.Now() }()
 	return do(ctx, f)
 }
 
-func (x *duties) act(ctx context.Context) {
+// stepDuties performs one step of each duty.
+func (x *duties) stepDuties(ctx context.Context) {
 	x.rollout.step(ctx, x)
 	if x.d.Site().Duties.Usage {
 		x.usage.step(ctx, x)
@@ -284,11 +286,11 @@
 	}
 }
 
-// release gives the lease up, so that another daemon need not wait its term out.
+// release frees the lease, so that another daemon need not wait for the end of the term.
 func (x *duties) release(ctx context.Context) {
 	x.calls.lock()
 	defer x.calls.unlock()
-	ctx, cancel := context.WithTimeout(ctx, answerLimit)
+	ctx, cancel := context.WithTimeout(ctx, storeCallTimeout)
 	defer cancel()
 	x.gate.lock()
 	defer x.gate.unlock()
@@ -298,8 +300,7 @@
 	}
 }
 
-// gate lets one in at a time, as a mutex does; whoever waits at it holds up nothing
-// else, also in virtual time.
+// gate is a mutex made of a channel, so that waiting for it does not stop virtual time.
 type gate chan struct{}
 
 func newGate() gate { return make(gate, 1) }
--- a/entry/rolloutorders.go
+++ b/entry/rolloutorders.go
@@ -12,8 +12,9 @@
 	"streambend.example/rollout"
 )
 
-// takeRows takes in the operator's orders. Of a whole reading, what is missing was withdrawn.
-func (k *rolloutKeeper) takeRows(now time.Time, rows []platform.Row, whole bool) {
+// takeRows applies the operator's orders. If the rows are the whole table, an order that is missing
+// from them was withdrawn.
+func (k *rolloutController) takeRows(now time.Time, rows []platform.Row, whole bool) {
 	there := make(map[string]bool)
 	for _, r := range rows {
 		service, ok := platform.RolloutService(r)
@@ -27,11 +28,11 @@
 		}
 		o, err := platform.ReadRollout(r)
 		if err != nil {
-			k.d.log.WithFields(logrus.Fields{"part": "rollout", "service": service, "version": r.Version}).Warnf("order left out: %v", err)
+			k.d.log.WithFields(logrus.Fields{"part": "rollout", "service": service, "version": r.Version}).Warnf("invalid order ignored: %v", err)
 			k.d.meters.refused(codeOf(err))
 			continue
 		}
-		k.order(now, now, o, rollout.Fact{})
+		k.applyOrder(now, now, o, rollout.Fact{})
 	}
 	if !whole {
 		return
@@ -44,10 +45,10 @@
 }
 
 // ordered returns the services that have an order.
-func (k *rolloutKeeper) ordered() (out []string) {
+func (k *rolloutController) ordered() (out []string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	for name, v := range k.known {
+	for name, v := range k.services {
 		if v.order.Number != 0 {
 			out = append(out, name)
 		}
@@ -55,15 +56,15 @@
 	return out
 }
 
-// withdraw notes that the operator has taken an order back: it is rolled back, unless it has ended.
-func (k *rolloutKeeper) withdraw(service string) {
+// withdraw records that the operator has removed an order, and rolls it back unless it has ended.
+func (k *rolloutController) withdraw(service string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	v := k.known[service]
-	if v == nil || v.order.Number == 0 || v.gone {
+	v := k.services[service]
+	if v == nil || v.order.Number == 0 || v.withdrawn {
 		return
 	}
-	v.gone = true
+	v.withdrawn = true
 	if v.running() {
 		f := v.fact
 		f.Stage, f.Why = rollout.RolledBack, "withdrawn"
