--- a/version/catalog.go
+++ b/version/catalog.go
@@ -10,74 +10,73 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Repeat says how often a request of a route may run.
+// Repeat is the retry rule of a route.
 type Repeat int
 
-// The repeat rules of a route.
+// Retry rules of a route.
 const (
-	RepeatNever  Repeat = iota // at most once
-	RepeatAlways               // as often as needed
-	RepeatResume               // a stream that another endpoint may take up
+	RepeatNever  Repeat = iota // may run at most once
+	RepeatAlways               // may run any number of times
+	RepeatResume               // a stream that may be resumed at another endpoint
 )
 
 // String returns the rule's name.
 func (r Repeat) String() string { return [...]string{"never", "always", "resume"}[r] }
 
-// PathRoute sends the requests of a host whose path begins with a prefix to a
-// service.
+// PathRoute routes requests for a host and a path prefix to one or more services.
 type PathRoute struct {
 	Name      string
 	Host      string
 	Prefix    string // begins and ends with a slash
 	Streaming bool
 	Repeat    Repeat
-	Public    bool          // takes requests without a key
-	Timeout   time.Duration // the longest a request may be held
-	Target    time.Duration // an answer within it earns its full credit
-	Pause     time.Duration // the longest pause within a stream that is in time
-	Attempts  int           // endpoints that one request may run at
+	Public    bool          // accepts requests without an API key
+	Timeout   time.Duration // maximum duration of a request
+	Target    time.Duration // latency target: a response within it counts in full
+	Pause     time.Duration // longest acceptable pause between events of a stream
+	Attempts  int           // maximum number of endpoints tried per request
 	Priority  int           // 0 is the most urgent
 	Split     []Share
 }
 
-// Share is a service's part of a route's requests.
+// Share is a service's weight in the traffic split of a route.
 type Share struct {
 	Service string
 	Weight  float64
 }
 
-// Scaling says how many endpoints a service may have in each zone, and what
-// they cost a second.
+// Scaling holds the limits on the number of endpoints of a service per zone, and
+// their prices per second.
 type Scaling struct {
 	Least      int
 	Most       int
-	Startup    time.Duration      // from the order to the first request
-	SpotPrice  float64            // of a reclaimable endpoint, as a share of the zone's price
-	ZonePrices map[string]float64 // by availability zone, relative
+	Startup    time.Duration      // from the order of an endpoint to its first request
+	SpotPrice  float64            // price of a reclaimable endpoint as a fraction of the zone's price
+	ZonePrices map[string]float64 // relative price by availability zone
 }
 
-// Backend is a service as the catalog describes it.
+// Backend is a service in the catalog.
 type Backend struct {
 	Name        string
 	Engine      bool
-	Slots       int      // requests that an engine runs together
-	CacheTokens int      // memory of an engine, in tokens
-	Scaling     *Scaling // nil where the number is not ours to choose
+	Slots       int      // concurrent requests of an engine
+	CacheTokens int      // KV cache size of an engine in tokens
+	Scaling     *Scaling // nil if this system does not scale the service
 }
 
-// Tenant is a team with its keys and its limit.
+// Tenant is a team with its API keys and quota.
 type Tenant struct {
 	Name        string
 	Keys        []string
-	Priority    int // goes before the route's if HasPriority
+	Priority    int // overrides the route's priority if HasPriority
 	HasPriority bool
-	Rate        float64 // a second, in Tokens or requests; 0 for no limit
-	Burst       float64 // on top
-	Tokens      bool    // the limit counts tokens rather than requests
-	PlainTokens int     // what a request without token counts counts for
+	Rate        float64 // per second, in tokens or requests; 0 for no limit
+	Burst       float64 // burst above the rate
+	Tokens      bool    // the quota counts tokens instead of requests
+	PlainTokens int     // cost of a request without token counts
 }
 
-// CallerLimits bound what callers may send.
+// CallerLimits holds the size limits and timeouts for callers.
 type CallerLimits struct {
 	HeaderBytes int
 	BodyBytes   int64
@@ -85,8 +84,8 @@
 	IdleTime    time.Duration
 }
 
-// Catalog is the operator's whole configuration of the ingress at a version.
-// It is replaced whole and never changed once made.
+// Catalog is the operator's complete ingress configuration at a version. It is
+// immutable after Index.
 type Catalog struct {
 	Version int64
 	Routes  []PathRoute
@@ -94,47 +93,47 @@
 	Tenants []Tenant
 	Limits  CallerLimits
 
-	hosts map[string][]*PathRoute // the longest prefix first
-	keys  map[string]*Tenant
-	named map[string]bool // services, by themselves or by a route
+	routesByHost map[string][]*PathRoute // sorted by descending prefix length
+	tenantsByKey map[string]*Tenant
+	serviceNames map[string]bool // names of services defined or used by a route
 }
 
-// Index makes the catalog ready for look-ups and returns it.
+// Index builds the lookup tables of the catalog and returns it.
 func (c *Catalog) Index() *Catalog {
-	c.hosts = make(map[string][]*PathRoute)
-	c.named = make(map[string]bool, len(c.Backend))
+	c.routesByHost = make(map[string][]*PathRoute)
+	c.serviceNames = make(map[string]bool, len(c.Backend))
 	for name := range c.Backend {
-		c.named[name] = true
+		c.serviceNames[name] = true
 	}
 	for i := range c.Routes {
 		r := &c.Routes[i]
 		host := strings.ToLower(r.Host)
-		c.hosts[host] = append(c.hosts[host], r)
+		c.routesByHost[host] = append(c.routesByHost[host], r)
 		for _, s := range r.Split {
-			c.named[s.Service] = true
+			c.serviceNames[s.Service] = true
 		}
 	}
-	for _, routes := range c.hosts {
+	for _, routes := range c.routesByHost {
 		slices.SortStableFunc(routes, func(a, b *PathRoute) int { return len(b.Prefix) - len(a.Prefix) })
 	}
-	c.keys = make(map[string]*Tenant)
+	c.tenantsByKey = make(map[string]*Tenant)
 	for i := range c.Tenants {
 		for _, k := range c.Tenants[i].Keys {
-			c.keys[k] = &c.Tenants[i]
+			c.tenantsByKey[k] = &c.Tenants[i]
 		}
 	}
 	return c
 }
 
-// Names reports whether the catalog names a service, by itself or in a route.
-func (c *Catalog) Names(service string) bool { return c.named[service] }
+// Names reports whether the catalog defines a service or a route uses it.
+func (c *Catalog) Names(service string) bool { return c.serviceNames[service] }
 
-// Match returns the route of a host and a path, or nil.
+// Match returns the route with the longest prefix for a host and path, or nil.
 func (c *Catalog) Match(host, path string) *PathRoute {
 	host = strings.ToLower(host)
-	routes, ok := c.hosts[host]
+	routes, ok := c.routesByHost[host]
 	if name, _, cut := strings.Cut(host, ":"); !ok && cut {
-		routes = c.hosts[name]
+		routes = c.routesByHost[name]
 	}
 	for _, r := range routes {
 		if strings.HasPrefix(path, r.Prefix) {
@@ -144,13 +143,13 @@
 	return nil
 }
 
-// Keyed reports whether routes that are not public need a key.
+// Keyed reports whether routes that are not public require an API key.
 func (c *Catalog) Keyed() bool { return len(c.Tenants) > 0 }
 
-// Tenant returns the team that a key belongs to, or nil.
-func (c *Catalog) Tenant(key string) *Tenant { return c.keys[key] }
+// Tenant returns the team that owns an API key, or nil.
+func (c *Catalog) Tenant(key string) *Tenant { return c.tenantsByKey[key] }
 
-// TenantNamed returns the team of a name, or nil.
+// TenantNamed returns the team with the given name, or nil.
 func (c *Catalog) TenantNamed(name string) *Tenant {
 	for i := range c.Tenants {
 		if c.Tenants[i].Name == name {
@@ -160,15 +159,14 @@
 	return nil
 }
 
-// waitShares are the parts of the shortest target that requests of a service may
-// spend waiting, from the most urgent of its priorities on: under overload the
-// less urgent are to give way first.
-var waitShares = [...]float64{0.8, 0.6, 0.45}
+// waitFractions holds the fraction of the shortest target that requests may spend queueing,
+// by descending urgency of their priority: under overload the less urgent requests are
+// rejected first.
+var waitFractions = [...]float64{0.8, 0.6, 0.45}
 
-// WaitLimit returns how long a stream of the route may wait until its engine
-// turns to it, or 0 for no limit. It follows the shortest target among the
-// routes of the service that are as urgent or more, so that these are not
-// refused while it is served.
+// WaitLimit returns how long a stream of the route may queue before its engine starts it,
+// or 0 for no limit. It is based on the shortest target among the routes of the service
+// that are at least as urgent, so that these are not rejected while it is served.
 func (c *Catalog) WaitLimit(r *PathRoute, service string) time.Duration {
 	if !r.Streaming || r.Target <= 0 {
 		return 0
@@ -177,7 +175,7 @@
 	ahead := make(map[int]bool)
 	for i := range c.Routes {
 		o := &c.Routes[i]
-		if !o.Streaming || o.Target <= 0 || !o.sharedWith(service) || o.Priority > r.Priority {
+		if !o.Streaming || o.Target <= 0 || !o.routesTo(service) || o.Priority > r.Priority {
 			continue
 		}
 		target = min(target, o.Target)
@@ -185,7 +183,7 @@
 			ahead[o.Priority] = true
 		}
 	}
-	return time.Duration(waitShares[min(len(ahead), len(waitShares)-1)] * float64(target))
+	return time.Duration(waitFractions[min(len(ahead), len(waitFractions)-1)] * float64(target))
 }
 
 // ShortestTarget returns the shortest target among the streaming routes of a
@@ -194,19 +192,19 @@
 	var target time.Duration
 	for i := range c.Routes {
 		r := &c.Routes[i]
-		if r.Streaming && r.Target > 0 && r.sharedWith(service) && (target == 0 || r.Target < target) {
+		if r.Streaming && r.Target > 0 && r.routesTo(service) && (target == 0 || r.Target < target) {
 			target = r.Target
 		}
 	}
 	return target
 }
 
-func (r *PathRoute) sharedWith(service string) bool {
+func (r *PathRoute) routesTo(service string) bool {
 	return slices.ContainsFunc(r.Split, func(s Share) bool { return s.Service == service })
 }
 
-// Pick returns the service that takes a request of the route. The request's id
-// decides, so that its repeats within a daemon go the same way.
+// Pick selects the service for a request by a hash of the request id, so that retries
+// within a daemon select the same service.
 func (r *PathRoute) Pick(id string) string {
 	if len(r.Split) == 1 {
 		return r.Split[0].Service
@@ -229,7 +227,7 @@
 	return r.Split[len(r.Split)-1].Service
 }
 
-// Route returns the route in the form that requests of every way in have.
+// Route converts r to the Route type that all kinds of ingress share.
 func (r *PathRoute) Route() Route {
 	return Route{
 		Name: r.Name, Interactive: true, Unrepeatable: r.Repeat == RepeatNever, Priority: r.Priority,
@@ -237,7 +235,7 @@
 	}
 }
 
-// Service returns the service in the form that requests of every way in have.
+// Service converts b to the Service type that all kinds of ingress share.
 func (b Backend) Service() Service {
 	kind := Plain
 	if b.Engine {
--- a/version/config.go
+++ b/version/config.go
@@ -7,24 +7,23 @@
 	"time"
 )
 
-// Entry is one version of the log: a service set or withdrawn.
+// Entry is one version of the configuration log: it sets or withdraws a service.
 type Entry struct {
 	Version  int64     `json:"version"`
-	Plan     string    `json:"plan"` // the plan that was confirmed
+	Plan     string    `json:"plan"` // id of the confirmed plan
 	Author   string    `json:"author"`
 	At       time.Time `json:"at"`
 	Service  Service   `json:"service"`
 	Withdraw bool      `json:"withdraw,omitempty"`
 }
 
-// Row is a service in force and the version that last changed it.
+// Row is an active service and the version that last changed it.
 type Row struct {
 	Service Service `json:"service"`
 	Rev     int64   `json:"rev"`
 }
 
-// Config is the configuration at a version. It is never changed once made:
-// Apply returns a new one.
+// Config is the configuration at a version. It is immutable: Apply returns a new one.
 type Config struct {
 	Version int64            `json:"version"`
 	Rows    map[string]Row   `json:"rows"`    // by Service.Key
@@ -36,12 +35,12 @@
 	return &Config{Rows: make(map[string]Row), Applied: make(map[string]int64)}
 }
 
-// appliedKept bounds how many confirmed plans a Config remembers. A plan
-// expires long before so many others have been confirmed.
-const appliedKept = 4096
+// maxAppliedPlans is the number of confirmed plans that a Config retains. A plan expires
+// long before that many others have been confirmed.
+const maxAppliedPlans = 4096
 
-// Apply returns the configuration after e, or c itself if e is not the next
-// version: a configuration never goes back and never skips one.
+// Apply returns the configuration after e, or c itself if e is not the next version:
+// versions never decrease and are never skipped.
 func (c *Config) Apply(e Entry) *Config {
 	if e.Version != c.Version+1 {
 		return c
@@ -54,15 +53,15 @@
 	}
 	n.Applied[e.Plan] = e.Version
 	for p, v := range n.Applied {
-		if v <= e.Version-appliedKept {
+		if v <= e.Version-maxAppliedPlans {
 			delete(n.Applied, p)
 		}
 	}
 	return n
 }
 
-// Taken returns how many boxes of the shared pool the services hold at most,
-// leaving out the service of the given key.
+// Taken returns the maximum number of boxes that the services may use of the shared
+// pool, without the service with key except.
 func (c *Config) Taken(except string) int {
 	n := 0
 	for k, r := range c.Rows {
@@ -73,8 +72,7 @@
 	return n
 }
 
-// Lookup finds the service and the route that a partner's callers reach under
-// a name.
+// Lookup returns the service and the route of a partner with the given route name.
 func (c *Config) Lookup(partner, name string) (Service, Route, bool) {
 	for _, r := range c.Rows {
 		if r.Service.Partner != partner {
--- a/version/lease_test.go
+++ b/version/lease_test.go
@@ -21,8 +21,8 @@
 	return &version.Lease{Shard: "s", Self: name, Term: 6 * time.Second, Margin: time.Second}
 }
 
-// slowTable lets time pass within a call, before and after its effect, and
-// another daemon act while a call is on its way.
+// slowTable advances the time within a call, before and after its effect, and lets
+// another daemon act during the call.
 type slowTable struct {
 	seam.Table
 	now    *time.Time
@@ -31,7 +31,7 @@
 	during func()
 }
 
-func (s *slowTable) travel() {
+func (s *slowTable) delay() {
 	*s.now = s.now.Add(s.before)
 	if f := s.during; f != nil {
 		s.during = nil
@@ -40,21 +40,21 @@
 }
 
 func (s *slowTable) Get(ctx context.Context, k seam.Key) (seam.Item, error) {
-	s.travel()
+	s.delay()
 	it, err := s.Table.Get(ctx, k)
 	*s.now = s.now.Add(s.after)
 	return it, err
 }
 
 func (s *slowTable) Write(ctx context.Context, nonce string, ws ...seam.Write) error {
-	s.travel()
+	s.delay()
 	err := s.Table.Write(ctx, nonce, ws...)
 	*s.now = s.now.Add(s.after)
 	return err
 }
 
-// TestLeaseHasOneHolder pauses and slows daemons at will: at no moment do two
-// hold the lease, and the epoch grows with each change of holder.
+// Daemons pause and their table calls are delayed or lost at random. No two daemons ever hold
+// the lease at the same time, and no epoch has two holders.
 func TestLeaseHasOneHolder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := start
@@ -133,13 +133,13 @@
 	assert.True(t, held, fmt.Sprint(b.Holder()))
 }
 
-// Whoever takes the lease knows whom it follows, also at its first look and after it has held it
-// before: another may have acted in between.
-func TestATakerKnowsWhomItFollows(t *testing.T) {
+// Replaced returns the previous holder even on the first read, and also for a daemon that has
+// held the lease before, since another may have held it in between.
+func TestReplacedIsPreviousHolder(t *testing.T) {
 	now, table := start, standin.NewMemory()
 	a, b := newLease("a"), newLease("b")
 	require.NoError(t, a.Step(t.Context(), now, table))
-	assert.Empty(t, a.Replaced().Holder, "nobody held it before")
+	assert.Empty(t, a.Replaced().Holder, "the lease had no holder before")
 	require.NoError(t, a.Release(t.Context(), now, table))
 	require.NoError(t, b.Step(t.Context(), now, table))
 	assert.Equal(t, "a", b.Replaced().Holder)
@@ -150,5 +150,5 @@
 	assert.Equal(t, "b", a.Replaced().Holder)
 	now = now.Add(time.Second)
 	require.NoError(t, a.Step(t.Context(), now, table))
-	assert.Equal(t, "b", a.Replaced().Holder, "a renewal follows nobody")
+	assert.Equal(t, "b", a.Replaced().Holder, "a renewal does not change Replaced")
 }
--- a/version/log.go
+++ b/version/log.go
@@ -16,29 +16,29 @@
 )
 
 const (
-	logPart      = "config"
-	pointerPart  = "config-snapshot"
-	pointerSort  = "latest"
-	tailLimit    = 100
-	snapshotStep = 64 // versions between two snapshots
-	commitTries  = 8  // races lost before a confirm gives up
+	logPart          = "config"
+	pointerPart      = "config-snapshot"
+	pointerSort      = "latest"
+	tailPageSize     = 100
+	snapshotInterval = 64 // versions between two snapshots
+	commitAttempts   = 8  // attempts to write the next version before Confirm returns a conflict
 )
 
-// Log is the configuration log in the platform's table, with snapshots in the
+// Log is the configuration log, stored in the platform's table with snapshots in the
 // object store.
 type Log struct {
 	Table   seam.Table
-	Objects seam.Objects // nil for no snapshots
+	Objects seam.Objects // nil disables snapshots
 }
 
-// sortKey orders versions as text; the store sorts keys as bytes.
+// sortKey pads a version with zeros, since the store sorts keys bytewise.
 func sortKey(v int64) string { return fmt.Sprintf("%020d", v) }
 
 func snapshotName(v int64) string { return "config/" + sortKey(v) }
 
-// Tail returns the entries after a version, the oldest first.
+// Tail returns up to tailLimit entries after a version, oldest first.
 func (l Log) Tail(ctx context.Context, after int64) ([]Entry, error) {
-	items, err := l.Table.Query(ctx, logPart, sortKey(after), tailLimit)
+	items, err := l.Table.Query(ctx, logPart, sortKey(after), tailPageSize)
 	if err != nil {
 		return nil, err
 	}
@@ -53,8 +53,8 @@
 	return entries, nil
 }
 
-// Advance brings a configuration up to the table's newest version, and returns
-// the entries that were new.
+// Advance applies all newer entries in the table to a configuration, and returns the
+// result and these entries.
 func (l Log) Advance(ctx context.Context, c *Config) (*Config, []Entry, error) {
 	var all []Entry
 	for {
@@ -67,14 +67,14 @@
 			c = c.Apply(e)
 		}
 		all = append(all, entries...)
-		if len(entries) < tailLimit || c.Version == before {
+		if len(entries) < tailPageSize || c.Version == before {
 			return c, all, nil
 		}
 	}
 }
 
-// Load returns the newest configuration: a snapshot, where there is one, and
-// the entries after it.
+// Load returns the newest configuration, from the newest snapshot, if any, and the
+// entries after it.
 func (l Log) Load(ctx context.Context) (*Config, error) {
 	c := Empty()
 	if s, err := l.snapshot(ctx); err == nil {
@@ -84,8 +84,8 @@
 	return c, err
 }
 
-// pointer is the value of the item that names the newest snapshot.
-type pointer struct {
+// snapshotPointer is the value of the item that refers to the newest snapshot.
+type snapshotPointer struct {
 	Version int64 `json:"version"`
 }
 
@@ -97,7 +97,7 @@
 	if err != nil {
 		return nil, err
 	}
-	var p pointer
+	var p snapshotPointer
 	if err := json.Unmarshal(it.Value, &p); err != nil {
 		return nil, errors.Wrap(err, "version: pointer")
 	}
@@ -109,11 +109,11 @@
 	return c, errors.Wrap(json.Unmarshal(b, c), "version: snapshot")
 }
 
-// Snapshot writes the configuration to the object store if a snapshot is due,
-// and points to it. Any daemon may do so at any time: a version has only one
-// content, and the pointer moves upward only.
+// Snapshot writes the configuration to the object store if a snapshot is due, and
+// updates the pointer. Any daemon may do so at any time: the content of a version is
+// unique, and the pointer only increases.
 func (l Log) Snapshot(ctx context.Context, c *Config) error {
-	if l.Objects == nil || c.Version == 0 || c.Version%snapshotStep != 0 {
+	if l.Objects == nil || c.Version == 0 || c.Version%snapshotInterval != 0 {
 		return nil
 	}
 	b, err := json.Marshal(c)
@@ -128,27 +128,27 @@
 	if err != nil && !errors.Is(err, seam.ErrNotFound) {
 		return err
 	}
-	var p pointer
+	var p snapshotPointer
 	if err == nil && json.Unmarshal(it.Value, &p) == nil && p.Version >= c.Version {
 		return nil
 	}
-	v, _ := json.Marshal(pointer{Version: c.Version})
+	v, _ := json.Marshal(snapshotPointer{Version: c.Version})
 	return seam.Put(ctx, l.Table, uuid.NewString(), seam.Write{Key: key, Rev: it.Rev, Value: v})
 }
 
-// nonce names the attempt to write a plan as a version. The same attempt has
-// the same nonce wherever it is made.
-func nonce(plan string, v int64) string {
+// commitNonce returns the idempotency key for writing a plan as a version. It is the same
+// on every daemon.
+func commitNonce(plan string, v int64) string {
 	return uuid.NewSHA1(uuid.NameSpaceOID, fmt.Appendf(nil, "%s/%d", plan, v)).String()
 }
 
-// Confirm commits a plan and returns the configuration that holds it, with
-// the entries that are new since c. A plan confirmed before stays as it is. The errors are code.Conflict and
-// the others of Check, code.StoreDown when nothing was written, and
-// code.OutcomeUnclear when the table's answers were lost.
+// Confirm commits a plan and returns the resulting configuration and the entries since c.
+// It is idempotent for a plan that is already committed. The errors are code.Conflict and
+// the others of Check, code.StoreDown if nothing was written, and code.OutcomeUnclear if
+// the table's response was lost.
 func (l Log) Confirm(ctx context.Context, now time.Time, c *Config, pool int, p Plan) (*Config, []Entry, error) {
 	var all []Entry
-	for range commitTries {
+	for range commitAttempts {
 		next, fresh, err := l.Advance(ctx, c)
 		c, all = next, append(all, fresh...)
 		if err != nil {
@@ -166,17 +166,17 @@
 			return c, all, errors.Wrap(err, "version: entry")
 		}
 		w := seam.Write{Key: seam.Key{Part: logPart, Sort: sortKey(e.Version)}, Value: v}
-		err = seam.Put(ctx, l.Table, nonce(p.ID, e.Version), w)
+		err = seam.Put(ctx, l.Table, commitNonce(p.ID, e.Version), w)
 		switch {
 		case err == nil:
 			return c.Apply(e), append(all, e), nil
 		case errors.Is(err, seam.ErrConflict):
-			continue // another change came first; read it and check again
+			continue // another change was committed first; read it and check again
 		case seam.Ambiguous(err):
 			return c, all, code.New(code.OutcomeUnclear, "%v", err).After(time.Second)
 		default:
 			return c, all, code.New(code.StoreDown, "%v", err).After(time.Second)
 		}
 	}
-	return c, all, code.New(code.Conflict, "lost %d races for the next version", commitTries)
+	return c, all, code.New(code.Conflict, "lost %d races for the next version", commitAttempts)
 }
--- a/version/log_test.go
+++ b/version/log_test.go
@@ -38,14 +38,14 @@
 	}}
 }
 
-// logMachine drives several daemons' views of one log against a list of what
-// was accepted.
+// logMachine is the state machine of a property test in which several daemons with
+// their own views use one log.
 type logMachine struct {
-	table *standin.Memory
-	log   version.Log
-	views []*version.Config
-	plans []version.Plan
-	now   time.Time
+	table   *standin.Memory
+	log     version.Log
+	configs []*version.Config
+	plans   []version.Plan
+	now     time.Time
 }
 
 func (m *logMachine) fault(t *rapid.T) {
@@ -58,7 +58,7 @@
 func (m *logMachine) plan(t *rapid.T) {
 	partner := rapid.SampledFrom([]string{"office", "podwave"}).Draw(t, "partner")
 	name := rapid.SampledFrom([]string{"a", "b"}).Draw(t, "name")
-	view := rapid.SampledFrom(m.views).Draw(t, "view")
+	view := rapid.SampledFrom(m.configs).Draw(t, "view")
 	s := service(partner, name, rapid.IntRange(1, 20).Draw(t, "boxes"))
 	withdraw := rapid.IntRange(0, 5).Draw(t, "withdraw") == 0
 	p, err := version.MakePlan(m.now, view, market(), "op", s, withdraw)
@@ -71,19 +71,19 @@
 	if len(m.plans) == 0 {
 		return
 	}
-	i := rapid.IntRange(0, len(m.views)-1).Draw(t, "daemon")
+	i := rapid.IntRange(0, len(m.configs)-1).Draw(t, "daemon")
 	p := rapid.SampledFrom(m.plans).Draw(t, "plan")
-	before := m.views[i]
+	before := m.configs[i]
 	c, _, err := m.log.Confirm(context.Background(), m.now, before, pool, p)
 	if c.Version < before.Version {
-		t.Fatalf("version went back from %d to %d", before.Version, c.Version)
+		t.Fatalf("version decreased from %d to %d", before.Version, c.Version)
 	}
-	m.views[i] = c
+	m.configs[i] = c
 	if err == nil && c.Applied[p.ID] == 0 {
-		t.Fatalf("confirmed, but not in the configuration")
+		t.Fatalf("confirmed plan is not in the configuration")
 	}
 	if err != nil && code.Of(err).Ran() == code.NotRun && c.Applied[p.ID] != 0 {
-		t.Fatalf("%v, but it is in the configuration", err)
+		t.Fatalf("%v, but the plan is in the configuration", err)
 	}
 }
 
@@ -91,8 +91,8 @@
 	m.now = m.now.Add(time.Duration(rapid.IntRange(1, 400).Draw(t, "seconds")) * time.Second)
 }
 
-// check replays the table and compares: versions without gaps, each plan once,
-// never more of the pool than there is, no view beyond the table.
+// check replays the log and verifies that versions have no gaps, each plan occurs once,
+// the pool is not exceeded and no view is ahead of the table.
 func (m *logMachine) check(t *rapid.T) {
 	m.table.Faults.Set(standin.Fault{})
 	c, entries, err := m.log.Advance(context.Background(), version.Empty())
@@ -109,22 +109,22 @@
 	if taken := c.Taken(""); taken > pool {
 		t.Fatalf("%d boxes taken of %d", taken, pool)
 	}
-	for _, v := range m.views {
+	for _, v := range m.configs {
 		if v.Version > c.Version {
-			t.Fatalf("a view is at %d, the table at %d", v.Version, c.Version)
+			t.Fatalf("view at version %d is ahead of the table at %d", v.Version, c.Version)
 		}
 	}
 }
 
-func TestLogUnderRacesAndLostAnswers(t *testing.T) {
+func TestLogWithRacesAndLostResponses(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := &logMachine{table: standin.NewMemory(), now: start, views: []*version.Config{version.Empty(), version.Empty(), version.Empty()}}
+		m := &logMachine{table: standin.NewMemory(), now: start, configs: []*version.Config{version.Empty(), version.Empty(), version.Empty()}}
 		m.log = version.Log{Table: m.table}
 		t.Repeat(map[string]func(*rapid.T){"fault": m.fault, "plan": m.plan, "confirm": m.confirm, "wait": m.wait, "": m.check})
 	})
 }
 
-func TestConfirmAfterLostAnswerIsOneChange(t *testing.T) {
+func TestConfirmIsIdempotentAfterLostResponse(t *testing.T) {
 	table := standin.NewMemory()
 	log := version.Log{Table: table}
 	p, err := version.MakePlan(start, version.Empty(), market(), "op", service("office", "a", 4), false)
@@ -138,7 +138,7 @@
 	assert.Equal(t, int64(1), second.Version)
 }
 
-func TestConfirmOnMovedBaseIsAConflict(t *testing.T) {
+func TestConfirmOnChangedBaseIsAConflict(t *testing.T) {
 	log := version.Log{Table: standin.NewMemory()}
 	a, err := version.MakePlan(start, version.Empty(), market(), "op", service("office", "a", 4), false)
 	require.NoError(t, err)
@@ -152,7 +152,7 @@
 	assert.Equal(t, code.PlanExpired, code.Of(err))
 }
 
-func TestSnapshotAndTailAgreeWithTheWholeLog(t *testing.T) {
+func TestLoadFromSnapshotEqualsFullLog(t *testing.T) {
 	table, objects := standin.NewMemory(), &standin.MemoryObjects{}
 	log := version.Log{Table: table, Objects: objects}
 	c := version.Empty()
@@ -170,15 +170,15 @@
 	whole, err := version.Log{Table: table}.Load(t.Context())
 	require.NoError(t, err)
 	assert.Equal(t, whole, fromSnapshot)
-	assert.Less(t, reads, 20, "a fresh daemon reads the pointer and the tail only")
-	// An object store that is down costs time, not the configuration.
+	assert.Less(t, reads, 20, "Load reads only the pointer and the tail")
+	// Load falls back to the full log if the object store is down.
 	objects.Faults.Set(standin.Fault{Down: true})
 	again, err := log.Load(t.Context())
 	require.NoError(t, err)
 	assert.Equal(t, whole, again)
 }
 
-func TestWrongIntentsNameEveryField(t *testing.T) {
+func TestInvalidIntentErrors(t *testing.T) {
 	_, err := version.MakePlan(start, version.Empty(), market(), "op", version.Service{Partner: "office", Kind: "other"}, false)
 	require.Equal(t, code.BadIntent, code.Of(err))
 	for _, field := range []string{"Name", "Kind", "Routes", "Zones", "Class", "MinBoxes", "PerBox", "HourlyBound"} {
@@ -194,9 +194,8 @@
 	assert.Equal(t, code.NoSuchIntent, code.Of(err))
 }
 
-// headLog is the log that the design brief began with: a head row and an item
-// for each version, written in one transaction. It stands here to be measured
-// against.
+// headLog is the baseline of BenchmarkLogUnits: a log with a head row and an item for
+// each version, written in one transaction.
 type headLog struct{ table seam.Table }
 
 func (h headLog) commit(ctx context.Context, n int) error {
@@ -211,7 +210,7 @@
 		seam.Write{Key: seam.Key{Part: "config", Sort: fmt.Sprintf("%020d", it.Rev+1)}, Value: v})
 }
 
-// BenchmarkLogUnits bills a commit and a poll of both logs.
+// BenchmarkLogUnits compares the table units and calls per commit of both logs.
 func BenchmarkLogUnits(b *testing.B) {
 	for b.Loop() {
 		const n = 100
--- a/version/place.go
+++ b/version/place.go
@@ -16,46 +16,46 @@
 	"streambend.example/seam"
 )
 
-// Policy names a placement policy.
+// Policy is the name of a placement policy.
 type Policy string
 
-// The placement policies: ours and the baselines that it is measured against.
+// Placement policies: the production policy Ours, and baselines for comparison.
 const (
 	Ours     Policy = "ours"
-	OnDemand Policy = "on-demand" // no reclaimable box
-	Greedy   Policy = "greedy"    // the cheapest kind, whatever its zone
-	Spread   Policy = "spread"    // reclaimable, the same number in each zone
+	OnDemand Policy = "on-demand" // no reclaimable boxes
+	Greedy   Policy = "greedy"    // the cheapest kind in any zone
+	Spread   Policy = "spread"    // reclaimable boxes, the same number in each zone
 )
 
-// BoxKind is what the cloud is asked for.
+// BoxKind identifies a kind of box that the cloud offers.
 type BoxKind struct {
 	Zone        string
 	Class       string
 	Reclaimable bool
 }
 
-// Allotment is how many boxes of a kind a policy wants.
+// Allotment is the number of boxes of a kind that a policy allocates.
 type Allotment struct {
 	BoxKind
-	Hourly float64 // price of one box an hour
+	Hourly float64 // price per box and hour
 	Count  int
 }
 
-// PlaceInput is what a placement decision rests on.
+// PlaceInput is the input of a placement decision.
 type PlaceInput struct {
 	Service Service
-	Need    int // boxes that the demand needs
+	Need    int // boxes required by the demand
 	Prices  []seam.Price
-	Boxes   []seam.Box            // of the service, gone ones too
-	Refused map[BoxKind]time.Time // until when a kind is not asked for
-	Loss    map[string]float64    // share of a zone's boxes lost an hour
-	Swap    time.Duration         // how long a better price must stand; zero for never
-	Dear    map[string]time.Time  // since when a box is dearer than the best by swapRatio
-	Hold    time.Duration         // how long a surplus must stand before a stop
-	Surplus time.Time             // since when there is one; zero for none
+	Boxes   []seam.Box            // boxes of the service, including terminated ones
+	Refused map[BoxKind]time.Time // time until which a kind is not requested
+	Loss    map[string]float64    // fraction of a zone's boxes lost per hour
+	Swap    time.Duration         // how long a better price must persist before a box is replaced; 0 for never
+	Dear    map[string]time.Time  // by box id, since when its price exceeds swapRatio times the best
+	Hold    time.Duration         // how long a surplus must persist before boxes are stopped
+	Surplus time.Time             // since when there is a surplus; zero for none
 }
 
-// PlaceDecision is what to order now.
+// PlaceDecision is the result of Place.
 type PlaceDecision struct {
 	Starts  []seam.StartOrder
 	Stops   []string
@@ -64,13 +64,12 @@
 	Reason  string
 }
 
-// swapRatio is how much dearer than the best kind a box must be before it is
-// replaced for its price.
+// swapRatio is the ratio of a box's price to the best price above which it is replaced.
 const swapRatio = 1.5
 
-// Target returns how many boxes ours wants for a need, and how many of them
-// one zone may hold: after the loss of the largest zone the rest still carry
-// the interactive work.
+// Target returns the number of boxes that Ours allocates for a need, and the maximum per
+// zone, such that the remaining boxes carry the interactive work after the loss of the
+// largest zone.
 func Target(s Service, need int) (total, perZone int) {
 	need = min(max(need, s.MinBoxes), s.MaxBoxes)
 	interactive := int(math.Ceil(float64(need) * s.Interactive))
@@ -84,7 +83,7 @@
 	return total, max(total-interactive, (total+zones-1)/zones)
 }
 
-// candidates returns the kinds that may be asked for, the cheapest first.
+// candidates returns the kinds that may be requested, sorted by effective price.
 func candidates(now time.Time, in PlaceInput, p Policy) []Allotment {
 	var out []Allotment
 	for _, pr := range in.Prices {
@@ -103,21 +102,21 @@
 		out = append(out, Allotment{BoxKind: k, Hourly: pr.Hourly})
 	}
 	slices.SortFunc(out, func(a, b Allotment) int {
-		return cmp.Or(cmp.Compare(effective(in, a), effective(in, b)), strings.Compare(a.Zone, b.Zone))
+		return cmp.Or(cmp.Compare(effectivePrice(in, a), effectivePrice(in, b)), strings.Compare(a.Zone, b.Zone))
 	})
 	return out
 }
 
-// effective is the price of a kind with its expected losses: a lost box is
-// paid for while it starts and does not serve.
-func effective(in PlaceInput, a Allotment) float64 {
+// effectivePrice returns the price of a kind including expected losses: the replacement of a
+// lost box is paid for while it starts and does not serve.
+func effectivePrice(in PlaceInput, a Allotment) float64 {
 	if !a.Reclaimable {
 		return a.Hourly
 	}
 	return a.Hourly * (1 + in.Loss[a.Zone])
 }
 
-// allocate returns a whole allotment from nothing, for plans.
+// allocate returns a complete allocation for an empty fleet, for plans.
 func allocate(in PlaceInput, p Policy) []Allotment {
 	kinds := candidates(time.Time{}, in, p)
 	total, perZone := Target(in.Service, in.Need)
@@ -138,34 +137,34 @@
 	return out
 }
 
-// view is the state of the fleet that a placement decision works on.
-type view struct {
-	in     PlaceInput
-	alive  []seam.Box
-	zone   map[string]int      // reclaimable boxes alive, by zone
-	hourly map[BoxKind]float64 // price now
-	used   map[string]int      // slot prefix to highest generation seen
-	busy   map[string]bool     // slot prefix of boxes alive
-	spent  float64
+// fleet is the fleet state used by a placement decision.
+type fleet struct {
+	in          PlaceInput
+	alive       []seam.Box
+	perZone     map[string]int      // number of live reclaimable boxes by zone
+	hourly      map[BoxKind]float64 // current price
+	generations map[string]int      // highest generation seen, by slot prefix
+	occupied    map[string]bool     // slot prefixes of live boxes
+	spent       float64
 }
 
-func newView(in PlaceInput) *view {
-	v := &view{
-		in: in, zone: make(map[string]int), hourly: make(map[BoxKind]float64),
-		used: make(map[string]int), busy: make(map[string]bool),
+func newFleet(in PlaceInput) *fleet {
+	v := &fleet{
+		in: in, perZone: make(map[string]int), hourly: make(map[BoxKind]float64),
+		generations: make(map[string]int), occupied: make(map[string]bool),
 	}
 	for _, p := range in.Prices {
 		v.hourly[BoxKind{Zone: p.Zone, Class: p.Class, Reclaimable: p.Reclaimable}] = p.Hourly
 	}
 	for _, b := range in.Boxes {
 		slot, gen := SplitToken(b.Token)
-		v.used[slot] = max(v.used[slot], gen)
+		v.generations[slot] = max(v.generations[slot], gen)
 		if b.State == seam.BoxStarting || b.State == seam.BoxLive {
-			v.busy[slot] = true
+			v.occupied[slot] = true
 			v.alive = append(v.alive, b)
 			v.spent += v.price(b)
 			if b.Reclaimable {
-				v.zone[b.Zone]++
+				v.perZone[b.Zone]++
 			}
 		}
 	}
@@ -176,20 +175,20 @@
 	return BoxKind{Zone: b.Zone, Class: b.Class, Reclaimable: b.Reclaimable}
 }
 
-func (v *view) price(b seam.Box) float64 {
+func (v *fleet) price(b seam.Box) float64 {
 	if p, ok := v.hourly[kindOf(b)]; ok {
 		return p
 	}
 	return b.Price
 }
 
-// slotPrefix names a slot of a kind of a service.
+// slotPrefix returns the token prefix of a slot for a service and kind.
 func slotPrefix(service string, k BoxKind, slot int) string {
 	h := xxhash.Sum64String(fmt.Sprintf("%s|%s|%s|%t", service, k.Zone, k.Class, k.Reclaimable))
 	return fmt.Sprintf("%016x-%d", h, slot)
 }
 
-// SplitToken returns the slot that a start token names and its generation.
+// SplitToken splits a start token into its slot prefix and generation.
 func SplitToken(token string) (slot string, gen int) {
 	i := strings.LastIndexByte(token, '-')
 	if i < 0 {
@@ -202,41 +201,41 @@
 	return token[:i], gen
 }
 
-// NextGeneration returns the token to try when the box that a token names is
-// gone already, although the list no longer shows it.
+// NextGeneration returns the token to try next if the box of a token has already
+// terminated and is no longer listed.
 func NextGeneration(token string) string {
 	slot, gen := SplitToken(token)
 	return fmt.Sprintf("%s-%d", slot, gen+1)
 }
 
-// start takes the lowest free slot of a kind. Whoever decides from the same
-// boxes takes the same slot, so a second order for it has no second effect.
-func (v *view) start(k BoxKind) seam.StartOrder {
+// start returns a start order for the lowest free slot of a kind. Daemons that decide
+// from the same boxes select the same slot, so a duplicate order has no further effect.
+func (v *fleet) start(k BoxKind) seam.StartOrder {
 	for slot := 0; ; slot++ {
 		p := slotPrefix(v.in.Service.Key(), k, slot)
-		if v.busy[p] {
+		if v.occupied[p] {
 			continue
 		}
-		v.busy[p] = true
+		v.occupied[p] = true
 		if k.Reclaimable {
-			v.zone[k.Zone]++
+			v.perZone[k.Zone]++
 		}
 		v.spent += v.hourly[k]
 		return seam.StartOrder{
-			Token: fmt.Sprintf("%s-%d", p, v.used[p]+1), Partner: v.in.Service.Partner, Service: v.in.Service.Name,
+			Token: fmt.Sprintf("%s-%d", p, v.generations[p]+1), Partner: v.in.Service.Partner, Service: v.in.Service.Name,
 			Zone: k.Zone, Class: k.Class, Reclaimable: k.Reclaimable,
 		}
 	}
 }
 
-// Place decides which boxes to start and stop now.
+// Place decides which boxes to start and stop at now.
 func Place(now time.Time, in PlaceInput, p Policy) PlaceDecision {
-	v := newView(in)
+	v := newFleet(in)
 	total, perZone := targetOf(in, p)
 	d := PlaceDecision{Want: total, Present: len(v.alive)}
 	kinds := candidates(now, in, p)
 	for n := len(v.alive); n < total; n++ {
-		k, ok := v.choose(kinds, perZone, p)
+		k, ok := v.cheapestAllowed(kinds, perZone, p)
 		if !ok {
 			d.Reason = "no kind left under the bound"
 			break
@@ -247,10 +246,10 @@
 	case len(d.Starts) > 0:
 		d.Reason = fmt.Sprintf("%d short", total-len(v.alive))
 	case surplus > 0 && !in.Surplus.IsZero() && now.Sub(in.Surplus) >= in.Hold:
-		d.Stops = v.dearest(surplus, perZone)
+		d.Stops = v.mostExpensive(surplus, perZone)
 		d.Reason = fmt.Sprintf("%d over for %s", surplus, now.Sub(in.Surplus))
 	case surplus == 0 && p == Ours:
-		v.swap(now, kinds, perZone, &d)
+		v.replaceOverpriced(now, kinds, perZone, &d)
 	}
 	return d
 }
@@ -269,11 +268,10 @@
 	}
 }
 
-// choose returns the cheapest kind with room left under the zone's limit and
-// the cost bound.
-func (v *view) choose(kinds []Allotment, perZone int, p Policy) (Allotment, bool) {
+// cheapestAllowed returns the cheapest kind within the zone limit and, for Ours, the cost bound.
+func (v *fleet) cheapestAllowed(kinds []Allotment, perZone int, p Policy) (Allotment, bool) {
 	for _, k := range kinds {
-		if k.Reclaimable && v.zone[k.Zone] >= perZone {
+		if k.Reclaimable && v.perZone[k.Zone] >= perZone {
 			continue
 		}
 		if p == Ours && v.spent+k.Hourly > v.in.Service.HourlyBound {
@@ -284,12 +282,12 @@
 	return Allotment{}, false
 }
 
-// dearest returns the n boxes to stop: those of zones over their limit first,
-// then by price now.
-func (v *view) dearest(n, perZone int) []string {
+// mostExpensive returns the ids of n boxes to stop: first those in zones over the limit, then
+// those with the highest current price.
+func (v *fleet) mostExpensive(n, perZone int) []string {
 	bs := slices.Clone(v.alive)
 	over := func(b seam.Box) int {
-		if b.Reclaimable && v.zone[b.Zone] > perZone {
+		if b.Reclaimable && v.perZone[b.Zone] > perZone {
 			return 1
 		}
 		return 0
@@ -304,13 +302,13 @@
 	return ids
 }
 
-// swap starts one box of a better kind when one alive has been too dear for
-// long enough; the surplus then ends the dear one.
-func (v *view) swap(now time.Time, kinds []Allotment, perZone int, d *PlaceDecision) {
+// replaceOverpriced starts one box of a cheaper kind if a live box has been overpriced for in.Swap. The
+// resulting surplus later stops the overpriced box.
+func (v *fleet) replaceOverpriced(now time.Time, kinds []Allotment, perZone int, d *PlaceDecision) {
 	if v.in.Swap <= 0 {
 		return
 	}
-	best, ok := v.choose(kinds, perZone, Ours)
+	best, ok := v.cheapestAllowed(kinds, perZone, Ours)
 	if !ok {
 		return
 	}
@@ -324,10 +322,10 @@
 	}
 }
 
-// IsDear reports whether a box costs more than swapRatio times the cheapest
-// kind of its class.
+// IsDear reports whether a box costs more than swapRatio times the cheapest kind of
+// its class in the zones of the service.
 func IsDear(in PlaceInput, b seam.Box) bool {
-	v := newView(in)
+	v := newFleet(in)
 	best := math.Inf(1)
 	for _, p := range in.Prices {
 		if p.Class == b.Class && slices.Contains(in.Service.Zones, p.Zone) {
--- a/version/plan.go
+++ b/version/plan.go
@@ -15,53 +15,53 @@
 	"streambend.example/seam"
 )
 
-// PlanLife is how long a plan can be confirmed.
+// PlanLife is the time within which a plan can be confirmed.
 const PlanLife = 15 * time.Minute
 
-// Base is a service that a plan has read, with the version that last changed
-// it; 0 for one that did not exist.
+// Base is a service that a plan is based on, with the version that last changed it; 0 if it
+// did not exist.
 type Base struct {
 	Key string `json:"key"`
 	Rev int64  `json:"rev"`
 }
 
-// Boxes counts the boxes of one kind.
+// Boxes is a number of boxes of one kind.
 type Boxes struct {
 	Zone        string  `json:"zone"`
 	Class       string  `json:"class"`
 	Reclaimable bool    `json:"reclaimable"`
 	Count       int     `json:"count"`
-	Hourly      float64 `json:"hourly"` // price of one box an hour
+	Hourly      float64 `json:"hourly"` // price per box and hour
 }
 
-// Plan answers an intent. Nothing changes before it is confirmed.
+// Plan is the proposed result of an intent. It takes effect only when confirmed.
 type Plan struct {
 	ID         string    `json:"id"`
 	Partner    string    `json:"partner"`
 	Author     string    `json:"author"`
 	Service    Service   `json:"service"`
 	Withdraw   bool      `json:"withdraw,omitempty"`
-	Version    int64     `json:"version"` // the configuration it was made from
+	Version    int64     `json:"version"` // version of the configuration it is based on
 	Bases      []Base    `json:"bases"`
 	Boxes      []Boxes   `json:"boxes"`
 	HourlyLow  float64   `json:"hourly_low"`
 	HourlyHigh float64   `json:"hourly_high"`
-	Attainment float64   `json:"attainment"` // expected share of answers within the target
-	Pool       int       `json:"pool"`       // boxes it may take from the shared pool
-	PoolLeft   int       `json:"pool_left"`  // boxes left for others after it
+	Attainment float64   `json:"attainment"` // expected fraction of responses within the target
+	Pool       int       `json:"pool"`       // boxes reserved in the shared pool
+	PoolLeft   int       `json:"pool_left"`  // boxes of the shared pool left for other services
 	Changes    []string  `json:"changes"`
 	Expires    time.Time `json:"expires"`
 }
 
-// Market is what a plan needs to know of the platform.
+// Market holds the prices and the pool size that plans are made from.
 type Market struct {
 	Prices []seam.Price
-	Pool   int // boxes of the shared pool
+	Pool   int // boxes in the shared pool
 }
 
 var validate = validator.New(validator.WithRequiredStructEnabled())
 
-// Validate returns a code.BadIntent that names every wrong field.
+// Validate returns a code.BadIntent error that names every invalid field.
 func (s Service) Validate() error {
 	err := validate.Struct(s)
 	var fields validator.ValidationErrors
@@ -88,7 +88,7 @@
 	return nil
 }
 
-// MakePlan answers an intent with a plan made from the configuration c.
+// MakePlan returns the plan for an intent, based on the configuration c.
 func MakePlan(now time.Time, c *Config, m Market, author string, s Service, withdraw bool) (Plan, error) {
 	key := s.Key()
 	old, exists := c.Rows[key]
@@ -103,7 +103,7 @@
 	p := Plan{
 		ID: uuid.NewString(), Partner: s.Partner, Author: author, Service: s, Withdraw: withdraw, Version: c.Version,
 		Bases: []Base{{Key: key, Rev: old.Rev}}, Expires: now.Add(PlanLife), Attainment: 1,
-		PoolLeft: m.Pool - c.Taken(key), Changes: changes(old, exists, s, withdraw),
+		PoolLeft: m.Pool - c.Taken(key), Changes: describeChanges(old, exists, s, withdraw),
 	}
 	if withdraw {
 		return p, nil
@@ -122,7 +122,7 @@
 	return p, nil
 }
 
-// checkRoutes refuses a route name that another service of the partner has.
+// checkRoutes rejects route names that another service of the partner uses.
 func checkRoutes(c *Config, s Service) error {
 	for _, r := range s.Routes {
 		other, _, ok := c.Lookup(s.Partner, r.Name)
@@ -133,7 +133,7 @@
 	return nil
 }
 
-// estimate fills in boxes, cost and attainment from the placement policy.
+// estimate sets the boxes, cost and attainment of a plan from the placement policy.
 func estimate(p *Plan, prices []seam.Price) error {
 	s := p.Service
 	in := PlaceInput{Service: s, Need: s.MinBoxes, Prices: prices}
@@ -160,9 +160,9 @@
 	return nil
 }
 
-// expectedAttainment is the share of the hour in which the target holds if
-// the largest zone is lost once: interactive work suffers only while the rest
-// cannot carry it and new boxes start.
+// expectedAttainment returns the fraction of an hour in which the target is met if the
+// largest zone is lost once: interactive work is affected only while the remaining boxes
+// cannot carry it and replacements start.
 func expectedAttainment(s Service, total, worst int) float64 {
 	const hourShareOfReplacement = 120.0 / 3600
 	need := float64(s.MinBoxes) * s.Interactive
@@ -173,7 +173,7 @@
 	return 1 - hourShareOfReplacement*(1-rest/need)
 }
 
-func changes(old Row, exists bool, s Service, withdraw bool) []string {
+func describeChanges(old Row, exists bool, s Service, withdraw bool) []string {
 	switch {
 	case withdraw:
 		return []string{fmt.Sprintf("withdraw %s (up to %d boxes)", s.Key(), s.MaxBoxes)}
@@ -197,7 +197,7 @@
 	return out
 }
 
-// Check tells whether a plan may still be committed on top of c.
+// Check returns an error if a plan can no longer be committed on top of c.
 func Check(now time.Time, c *Config, pool int, p Plan) error {
 	if now.After(p.Expires) {
 		return code.New(code.PlanExpired, "plan %s ended at %s", p.ID, p.Expires.Format(time.RFC3339))
