--- a/process/answer.go
+++ b/process/answer.go
@@ -37,7 +37,7 @@
 	Content string `json:"content"`
 }
 
-// modelWriter writes a model's answer in the shape that the caller asked for.
+// modelWriter writes a model's answer in the format that the caller requested.
 type modelWriter struct {
 	w    http.ResponseWriter
 	r    *request.Request
@@ -55,7 +55,7 @@
 	return o
 }
 
-// whole writes the answer in one piece, once it has ended.
+// whole writes the complete answer once it has ended.
 func (o *modelWriter) whole(ctx context.Context, a *request.Answer) {
 	if err := wait(ctx, a); err != nil {
 		writeError(o.w, err)
@@ -75,9 +75,9 @@
 	writeJSON(o.w, http.StatusOK, ans)
 }
 
-// stream writes the answer event by event as it grows, from the event after
-// the last that the caller has seen. Nothing is written before the first
-// token, so that a refusal still has its status.
+// stream writes the answer as server-sent events, starting after the last event
+// that the caller has received. Nothing is written before the first token, so
+// that a refusal can still set the HTTP status.
 func (o *modelWriter) stream(ctx context.Context, a *request.Answer) {
 	changed, stop := a.Follow()
 	defer stop()
@@ -150,8 +150,8 @@
 	o.buf = append(o.buf, "\n\n"...)
 }
 
-// end writes how the answer ended. An answer that is not whole gets an error
-// event and no end marker.
+// end writes the final event. An incomplete answer gets an error event and no
+// end marker.
 func (o *modelWriter) end(a *request.Answer, begun bool, after int, err *code.Error) {
 	if err != nil && !begun {
 		writeError(o.w, err)
@@ -182,7 +182,7 @@
 	o.flush()
 }
 
-// writeWait bounds how long a caller may take to read what is written to it.
+// writeWait is the write timeout of one flush to a slow caller.
 const writeWait = 30 * time.Second
 
 func (o *modelWriter) flush() {
--- a/process/asks.go
+++ b/process/asks.go
@@ -16,12 +16,12 @@
 	"streambend.example/request"
 )
 
-// The kinds of question between daemons.
+// The kinds of request between daemons.
 const (
-	askClaim    = "claim"    // what became of a claim of yours
-	askVersion  = "version"  // which version is in force at yours
-	askHandOver = "handover" // keep these answers until their callers come
-	askTakeOver = "takeover" // give me the answer you keep under a name
+	askClaim    = "claim"    // returns the state of a claim held by the receiver
+	askVersion  = "version"  // returns the receiver's active configuration version
+	askHandOver = "handover" // stores answers on the receiver until their callers reconnect
+	askTakeOver = "takeover" // returns and removes a stored answer
 )
 
 const askTimeout = time.Second
@@ -39,8 +39,8 @@
 	Snapshot request.Snapshot `codec:"s"`
 }
 
-// handed keeps answers that a stopping daemon has given us, until their
-// callers come back.
+// handed stores answers handed over by daemons that are shutting down, until
+// their callers reconnect.
 type handed struct {
 	mu  sync.Mutex
 	lru *simplelru.LRU[string, handedAnswer]
@@ -67,7 +67,7 @@
 	h.lru.Add(name, handedAnswer{now, s})
 }
 
-// take returns the answer kept under a name, and forgets it.
+// take removes and returns the answer stored under a name.
 func (h *handed) take(now time.Time, name string) (request.Snapshot, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -76,7 +76,7 @@
 	return a.snapshot, ok && now.Sub(a.at) <= handedLife
 }
 
-// answerAsk answers another daemon.
+// answerAsk handles a request from another daemon.
 func (d *Daemon) answerAsk(_ context.Context, from, kind string, body []byte) ([]byte, error) {
 	switch kind {
 	case askClaim:
@@ -95,7 +95,7 @@
 		for _, h := range hs {
 			d.handed.put(time.Now(), h.Name, h.Snapshot)
 		}
-		d.log.WithField("part", "process").Infof("handover: %d answers of %s are kept here", len(hs), from)
+		d.log.WithField("part", "process").Infof("handover: stored %d answers from %s", len(hs), from)
 		return nil, nil
 	case askTakeOver:
 		var name string
@@ -105,14 +105,14 @@
 		s, ok := d.handed.take(time.Now(), name)
 		return conn.Marshal(takeOverAnswer{ok, s}), nil
 	}
-	return nil, errors.Errorf("process: no question %q", kind)
+	return nil, errors.Errorf("process: unknown peer request kind %q", kind)
 }
 
 // peerAsker implements request.Peers.
 type peerAsker struct{ d *Daemon }
 
-// AskClaim asks the start of a daemon that holds a claim. A daemon that has
-// been started again since does not know it.
+// AskClaim asks the daemon instance that holds a claim for its state. A daemon
+// that has restarted since is a different instance and does not know the claim.
 func (p peerAsker) AskClaim(ctx context.Context, holder, name string) request.HolderState {
 	ctx, cancel := context.WithTimeout(ctx, askTimeout)
 	defer cancel()
@@ -130,8 +130,8 @@
 	return request.HolderUnknown
 }
 
-// keepers returns the daemons that keep a handed-over answer, the likeliest
-// first: the same for all who know the same members.
+// keepers returns up to two daemons that store a handed-over answer, in
+// rendezvous order: daemons with the same member list get the same result.
 func (d *Daemon) keepers(name string) []conn.Member {
 	var out []conn.Member
 	best := make(map[string]uint64)
@@ -149,10 +149,10 @@
 	return out[:min(len(out), 2)]
 }
 
-// askedMost bounds how many daemons are asked about one claim.
+// askedMost is the maximum number of daemons asked about one claim.
 const askedMost = 16
 
-// AnyoneRan implements request.Peers. A daemon that has died cannot be asked.
+// AnyoneRan implements request.Peers. Daemons that have crashed are not covered.
 func (p peerAsker) AnyoneRan(ctx context.Context, name string) bool {
 	ctx, cancel := context.WithTimeout(ctx, askTimeout)
 	defer cancel()
@@ -184,7 +184,7 @@
 	return p.d.Hub.Mesh.LeftSince(now.Add(-handedLife))
 }
 
-// TakeOver asks the daemons that would keep a handed-over answer.
+// TakeOver fetches a handed-over answer from the daemons responsible for storing it.
 func (p peerAsker) TakeOver(ctx context.Context, name string) (request.Snapshot, bool) {
 	ctx, cancel := context.WithTimeout(ctx, askTimeout)
 	defer cancel()
@@ -204,7 +204,7 @@
 	return request.Snapshot{}, false
 }
 
-// handOver gives the keyed answers under way to peers and returns how many.
+// handOver sends the unfinished answers with an idempotency key to peers and returns their number.
 func (d *Daemon) handOver() int {
 	hs := d.Server.HandOver()
 	byPeer := make(map[string][]request.Handover)
@@ -221,7 +221,7 @@
 			ctx, cancel := context.WithTimeout(context.Background(), 2*askTimeout)
 			defer cancel()
 			if _, err := d.Hub.Ask(ctx, name, askHandOver, conn.Marshal(part)); err != nil {
-				d.log.WithField("part", "process").Warnf("handover: %d answers not taken by %s: %v", len(part), name, err)
+				d.log.WithField("part", "process").Warnf("handover: sending %d answers to %s failed: %v", len(part), name, err)
 			}
 		}()
 	}
@@ -229,14 +229,14 @@
 	return len(hs)
 }
 
-// memberVersion is a daemon and the version in force there.
+// memberVersion is a daemon and its active configuration version.
 type memberVersion struct {
 	Name    string `json:"name"`
 	Zone    string `json:"zone"`
 	Version int64  `json:"version"` // -1 if it did not answer
 }
 
-// versions asks every daemon which version is in force there.
+// versions asks every daemon for its active configuration version.
 func (d *Daemon) versions(ctx context.Context) []memberVersion {
 	ctx, cancel := context.WithTimeout(ctx, askTimeout)
 	defer cancel()
--- a/process/bench_test.go
+++ b/process/bench_test.go
@@ -25,7 +25,7 @@
 	"streambend.example/version"
 )
 
-// fixedBoxes is a box list and a cloud that never change.
+// fixedBoxes implements seam.BoxList and seam.Cloud with a constant set of boxes.
 type fixedBoxes struct{ boxes []seam.Box }
 
 func (f fixedBoxes) List(context.Context, int64) (seam.BoxPage, error) {
@@ -42,7 +42,7 @@
 
 const benchToken = "bench"
 
-// bench is one daemon before fixed endpoints.
+// bench is one daemon in front of a fixed set of endpoints.
 type bench struct {
 	daemon  *process.Daemon
 	direct  string
@@ -111,7 +111,7 @@
 	}
 }
 
-// paced sends 500 requests a second for the span and returns their times.
+// paced sends 500 requests per second for the span and returns their latencies.
 func paced(tb testing.TB, span time.Duration, one func() error) *hdrhistogram.Histogram {
 	h := hdrhistogram.New(1, 10_000_000, 3)
 	var mu sync.Mutex
@@ -136,8 +136,8 @@
 	return h
 }
 
-// BenchmarkAddedLatency compares plain calls through a daemon with direct
-// ones, 500 a second.
+// BenchmarkAddedLatency compares the latency of plain calls through a daemon with
+// that of direct calls, at 500 requests per second.
 func BenchmarkAddedLatency(b *testing.B) {
 	w := newBench(b, service(version.Plain, "portal"), standin.NewPlain(seam.TCP{}, time.Millisecond, standin.NewLedger()))
 	get := func(url string) func() error {
@@ -192,7 +192,7 @@
 	}
 }
 
-// BenchmarkStreamedTokens sends as many tokens as it can through one daemon.
+// BenchmarkStreamedTokens reports the maximum token throughput of one daemon.
 // Engines, daemon and callers share the machine.
 func BenchmarkStreamedTokens(b *testing.B) {
 	fast := standin.EngineConfig{Batch: 4096, Prefill: 1e9, CacheBlocks: 100, Transfer: 1}
@@ -220,8 +220,8 @@
 }
 
 // BenchmarkStreamMemory holds streams open through the daemon, and then
-// directly, and reports the difference in live memory of the whole process:
-// what the daemon takes for each, half way through 3,000 tokens.
+// directly, and reports the difference in the process's live memory: the daemon's
+// memory per stream, half way through 3,000 tokens.
 func BenchmarkStreamMemory(b *testing.B) {
 	slow := standin.EngineConfig{Batch: 4096, Step: 2 * time.Millisecond, Prefill: 1e9, CacheBlocks: 100, Transfer: 1}
 	w := newBench(b, service(version.Model, "digest"), standin.NewEngine(seam.TCP{}, "e", slow, standin.NewLedger()))
@@ -233,7 +233,7 @@
 	}
 }
 
-// held returns the live memory of one open stream, in KB.
+// held returns the live memory per open stream, in KB.
 func (w *bench) held(tb testing.TB, base string) float64 {
 	const streams, tokens = 200, 3000
 	ctx, cancel := context.WithCancel(tb.Context())
--- a/process/callers.go
+++ b/process/callers.go
@@ -25,7 +25,7 @@
 const (
 	headKey      = "Idempotency-Key"
 	headLast     = "Last-Event-Id"
-	headDeadline = "Streambend-Deadline" // time the caller waits, such as 2.5s
+	headDeadline = "Streambend-Deadline" // how long the caller waits, such as 2.5s
 	headID       = "X-Request-Id"
 	headCode     = "Streambend-Code"
 	headRan      = "Streambend-Ran"
@@ -36,13 +36,13 @@
 	maxID  = 128
 )
 
-// callers serves the callers.
+// callers handles the HTTP API for callers.
 type callers struct {
 	d      *Daemon
 	tokens map[string]Caller
 }
 
-// newCallers returns the handler of the callers' address.
+// newCallers returns the HTTP handler for the callers' address.
 func newCallers(d *Daemon) http.Handler {
 	c := &callers{d: d, tokens: make(map[string]Caller)}
 	for _, x := range d.Settings.Callers {
@@ -67,13 +67,13 @@
 	io.WriteString(w, "ready\n")
 }
 
-// HashToken returns the form in which the settings hold a token.
+// HashToken returns the hex SHA-256 of a token, the form stored in the settings.
 func HashToken(token string) string {
 	h := sha256.Sum256([]byte(token))
 	return hex.EncodeToString(h[:])
 }
 
-// bearer returns the hash of a request's bearer token.
+// bearer returns the hash of a request's bearer token, or "" if there is none.
 func bearer(r *http.Request) string {
 	token, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 	if !ok {
@@ -101,7 +101,7 @@
 	OwnedBy string `json:"owned_by"`
 }
 
-// serveModels lists the names that the caller may use as model.
+// serveModels lists the model names available to the caller.
 func (c *callers) serveModels(w http.ResponseWriter, r *http.Request) {
 	who, err := c.caller(r)
 	if err != nil {
@@ -120,7 +120,7 @@
 	writeJSON(w, http.StatusOK, list)
 }
 
-// read reads what every request has: who, body, headers.
+// read authenticates a request and reads its body and headers.
 func (c *callers) read(w http.ResponseWriter, r *http.Request) (*request.Request, error) {
 	who, err := c.caller(r)
 	if err != nil {
@@ -147,7 +147,7 @@
 	return req, readHeaders(req, r)
 }
 
-// safe reports whether s can stand in a header or a log line as it is.
+// safe reports whether s can be copied unescaped into a header or a log line.
 func safe(s string, most int) bool {
 	return len(s) <= most && !strings.ContainsFunc(s, func(c rune) bool { return c <= ' ' || c > '~' })
 }
@@ -176,7 +176,7 @@
 	return nil
 }
 
-// bind finds the service of a request.
+// bind resolves the service and route of a request and sets its default deadline.
 func (c *callers) bind(req *request.Request, name string, kind version.Kind) error {
 	svc, route, ok := c.d.Config().Lookup(req.Partner, name)
 	if !ok || svc.Kind != kind {
@@ -224,8 +224,8 @@
 	o.whole(r.Context(), a)
 }
 
-// servePlain answers a call to a plain service, named by the path's first
-// part.
+// servePlain answers a call to a plain service; the first path segment is the
+// service's route name.
 func (c *callers) servePlain(w http.ResponseWriter, r *http.Request) {
 	req, err := c.read(w, r)
 	if err != nil {
@@ -274,7 +274,7 @@
 	w.Write(ans.Body)
 }
 
-// wait returns once the answer has ended, with its error.
+// wait blocks until the answer has ended and returns its error.
 func wait(ctx context.Context, a *request.Answer) error {
 	changed, stop := a.Follow()
 	defer stop()
@@ -297,7 +297,7 @@
 	Error errorText `json:"error"`
 }
 
-// errorText has the members that OpenAI's client libraries read, and ours.
+// errorText has the fields that OpenAI client libraries read, and Ran in addition.
 type errorText struct {
 	Message string `json:"message"`
 	Type    string `json:"type"`
--- a/process/config.go
+++ b/process/config.go
@@ -16,18 +16,18 @@
 	"streambend.example/version"
 )
 
-// recentKept is how many entries are kept to give to neighbours.
+// recentKept is the number of recent log entries cached to send to neighbours.
 const recentKept = 256
 
-// current is the configuration in force here. It moves upward only.
+// current holds the active configuration. Its version never decreases.
 type current struct {
 	log version.Log
 
 	mu     sync.Mutex
 	cfg    *version.Config
 	recent []version.Entry
-	synced time.Time // when the table last answered
-	have   bool      // from table or peers
+	synced time.Time // last successful read of the table
+	have   bool      // whether a configuration has come from the table or a peer
 }
 
 func newCurrent(l version.Log) *current { return &current{log: l, cfg: version.Empty()} }
@@ -38,8 +38,8 @@
 	return c.cfg
 }
 
-// apply takes entries in and reports whether the version grew, and whether
-// entries are missing in between.
+// apply applies log entries and reports whether the version advanced, and
+// whether entries in between are missing.
 func (c *current) apply(es []version.Entry) (grew, gap bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -58,7 +58,7 @@
 	return grew, gap
 }
 
-// replace takes a whole configuration in, if it is newer.
+// replace installs a complete configuration if it is newer.
 func (c *current) replace(cfg *version.Config) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -70,8 +70,8 @@
 	return true
 }
 
-// after returns the entries after a version, or the whole configuration if
-// they are not kept.
+// after returns the entries after a version, or the complete configuration if
+// they are no longer cached.
 func (c *current) after(v int64) conn.Payload {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -81,7 +81,7 @@
 	return conn.Payload{Config: c.cfg}
 }
 
-// tableSynced notes that the table has answered.
+// tableSynced records a successful read of the table.
 func (c *current) tableSynced(now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -94,8 +94,8 @@
 	return c.synced, c.have
 }
 
-// sharedPeriod stretches a period so that its cost at the platform stays the
-// same for a zone however many daemons the zone has, and adds jitter.
+// sharedPeriod scales a polling period with the number of daemons in this zone,
+// so that the zone's total load on the platform stays constant, and adds jitter.
 func (d *Daemon) sharedPeriod(p time.Duration) time.Duration {
 	n := 0
 	for _, m := range d.Hub.Mesh.Members() {
@@ -106,7 +106,8 @@
 	return stretch(p, n)
 }
 
-// fleetPeriod does the same for what one daemon's look tells all the others.
+// fleetPeriod scales a period with the number of all daemons, for polls whose
+// results are broadcast.
 func (d *Daemon) fleetPeriod(p time.Duration) time.Duration {
 	return stretch(p, len(d.Hub.Mesh.Members()))
 }
@@ -116,7 +117,7 @@
 	return p*9/10 + time.Duration(rand.Int64N(int64(p)/5+1))
 }
 
-// syncConfig is the backstop behind the push over the links.
+// syncConfig polls the configuration log, in case a push over the links was missed.
 func (d *Daemon) syncConfig(now time.Time) time.Duration {
 	ctx, cancel := context.WithTimeout(d.ctx, 2*tableTimeout)
 	defer cancel()
@@ -140,7 +141,7 @@
 	return d.sharedPeriod(d.Settings.Timing.Poll.Duration)
 }
 
-// adopt takes entries in and reports whether the version grew.
+// adopt applies log entries and reports whether the version advanced.
 func (d *Daemon) adopt(es []version.Entry, from string) bool {
 	grew, _ := d.config.apply(es)
 	if grew {
@@ -149,10 +150,10 @@
 	return grew
 }
 
-// inForce follows a new version up.
+// inForce updates the mesh, the services and the fleet after a version change.
 func (d *Daemon) inForce(c *version.Config, from string) {
 	d.Hub.Mesh.SetVersion(c.Version)
-	d.log.WithField("part", "config").Infof("config: version %d in force, from %s", c.Version, from)
+	d.log.WithField("part", "config").Infof("config: version %d active, received from %s", c.Version, from)
 	for _, w := range d.Server.Works.All() {
 		if _, ok := c.Rows[w.Pool.Service]; !ok {
 			d.Server.Works.Drop(w.Pool.Service)
@@ -161,16 +162,17 @@
 	d.fleet.resync()
 }
 
-// isolationBound is how long neither table nor peers may be heard of.
+// isolationBound is how long a daemon without neighbours may lack contact with
+// the table before it counts as isolated.
 const isolationBound = 10 * time.Second
 
-// judgeReady decides whether callers may be sent here.
+// judgeReady updates the readiness reported to the load balancer.
 func (d *Daemon) judgeReady(now time.Time) {
 	synced, have := d.config.state()
 	isolated := now.Sub(synced) > isolationBound && d.Hub.Mesh.Neighbours() == 0
 	ok := have && !d.draining.Load() && (!isolated || d.Settings.Isolated == "serve")
 	if d.ready.Swap(ok) != ok {
-		d.log.WithField("part", "process").Infof("ready: %t (configuration %t, isolated %t)", ok, have, isolated)
+		d.log.WithField("part", "process").Infof("readiness changed: %t (configuration loaded: %t, isolated: %t)", ok, have, isolated)
 	}
 }
 
@@ -180,8 +182,8 @@
 	seedPeriod   = 2 * time.Second
 )
 
-// syncMembers writes our row and reads the others', so that daemons that know
-// nobody find each other.
+// syncMembers writes this daemon's member row and reads the others', so that
+// daemons without neighbours can discover each other.
 func (d *Daemon) syncMembers(now time.Time) time.Duration {
 	ctx, cancel := context.WithTimeout(d.ctx, 2*tableTimeout)
 	defer cancel()
@@ -221,7 +223,7 @@
 	}
 }
 
-// take takes in what a link has brought.
+// take processes a payload received over a link.
 func (d *Daemon) take(now time.Time, in conn.Delivery) {
 	p := in.Payload
 	if in.Want > 0 {
@@ -232,8 +234,8 @@
 	}
 	if len(p.Entries) > 0 {
 		d.adopt(p.Entries, in.From)
-		// A gap is closed by the heartbeats: a neighbour that is ahead is
-		// asked for what is missing.
+		// Heartbeats repair a gap: missing entries are requested from a
+		// neighbour that has a newer version.
 	}
 	if p.Config != nil || len(p.Entries) > 0 {
 		d.judgeReady(now)
--- a/process/crash_test.go
+++ b/process/crash_test.go
@@ -21,13 +21,13 @@
 	"streambend.example/version"
 )
 
-// The same fault as at the entry boxes, at the project's own interface: one call crashes each
-// plain endpoint that begins to run it. Callers send it again, to any daemon; what one has
-// seen of it the others did not know, nor did those that started later.
+// These tests guard against one call that crashes each plain endpoint that runs it. Callers
+// retry it at any daemon, so daemons must share which requests are held back, also with daemons
+// that start later. The entry boxes have the same test at their own interface.
 
 const crashing = "crashes what runs it"
 
-// crashFleet is some daemons before plain endpoints, in memory and virtual time.
+// crashFleet runs daemons in front of plain endpoints on an in-memory network in virtual time.
 type crashFleet struct {
 	t       *testing.T
 	net     *standin.Net
@@ -80,7 +80,7 @@
 	return d
 }
 
-// ask sends a call to a daemon and returns the number of what came of it.
+// ask sends a call to a daemon and returns its error code, or "0" for success.
 func (f *crashFleet) ask(daemon int, body string) string {
 	f.asked++
 	req, err := http.NewRequest(http.MethodPut, fmt.Sprintf("http://10.0.0.%d:80/portal/x", daemon+1), strings.NewReader(body))
@@ -98,7 +98,7 @@
 	return resp.Header.Get("Streambend-Code")
 }
 
-// crashed returns how many endpoints have ended.
+// crashed returns the number of endpoints that have crashed.
 func (f *crashFleet) crashed() (n int) {
 	for _, e := range f.plains {
 		if c, err := f.net.Dial(f.t.Context(), "tcp", e.Address()); err != nil {
--- a/process/crashes.go
+++ b/process/crashes.go
@@ -13,16 +13,17 @@
 )
 
 const (
-	// holdsAgain is how often neighbours are told again which requests are held back.
+	// holdsAgain is the period at which held-back requests are sent to the neighbours again.
 	holdsAgain = time.Second
-	// endsRate and endsBurst bound the ends of endpoints that a daemon tells all others of. Worked
-	// out, not measured: as a zone of 200 endpoints loses power, each of 380 daemons has some 7
-	// requests there; told whole, over 16 links, that is 1.3 MB for each of them.
+	// endsRate (per second) and endsBurst limit the endpoint failures that a daemon broadcasts. When
+	// a zone of 200 endpoints loses power, each of 380 daemons has about 7 requests there; unlimited
+	// broadcasts over 16 links would cost each daemon 1.3 MB.
 	endsRate  = 2
 	endsBurst = 3
 )
 
-// holdShare is how daemons share which requests are held back: by the overlay, and by the table.
+// holdShare returns the functions that share held-back requests with other daemons, over the
+// mesh and through the table.
 func (d *Daemon) holdShare() request.HoldShare {
 	ends := rate.NewLimiter(endsRate, endsBurst)
 	return request.HoldShare{
@@ -41,7 +42,7 @@
 	}
 }
 
-// loadHolds reads which requests were held back as the daemons before this one ended.
+// loadHolds reads the requests held back by earlier daemons from the table, retrying until it succeeds.
 func (d *Daemon) loadHolds(ctx context.Context) {
 	for ctx.Err() == nil && !d.Server.Holds.Load(ctx) {
 		sleep(ctx, seedPeriod)
--- a/process/daemon.go
+++ b/process/daemon.go
@@ -23,21 +23,21 @@
 	"streambend.example/version"
 )
 
-// Platform is what a daemon needs of the platform.
+// Platform holds the platform services that a daemon depends on.
 type Platform struct {
 	Table   seam.Table
 	Objects seam.Objects
 	Cloud   seam.Cloud
 	Boxes   seam.BoxList
 	Network seam.Network
-	Close   func() // closes the connections kept
+	Close   func() // closes idle connections
 
-	// Adjust changes the request options, for trials that switch one
-	// mechanism off; nil for none.
+	// Adjust modifies the request options, for trials that disable one
+	// mechanism; may be nil.
 	Adjust func(*request.Options)
 }
 
-// Adapters returns the adapters that the settings name.
+// Adapters returns the platform adapters configured in the settings.
 func Adapters(s Settings, n seam.Network) Platform {
 	client := seam.HTTPClient(n, cloudTimeout)
 	api := cloud.HTTP{Base: s.Platform.Cloud, Client: client}
@@ -51,8 +51,8 @@
 }
 
 const (
-	tableTimeout = 2 * time.Second // of one call to the table
-	cloudTimeout = 5 * time.Second // of one call to any service of the platform
+	tableTimeout = 2 * time.Second // per call to the table
+	cloudTimeout = 5 * time.Second // per call to any platform service
 )
 
 // Daemon is a running daemon.
@@ -83,14 +83,14 @@
 	wg       sync.WaitGroup
 }
 
-// Addresses are the addresses that a daemon listens on.
+// Addresses holds the addresses that a daemon listens on.
 type Addresses struct {
 	Callers   string
 	Operators string
 	Peers     string
 }
 
-// tables are the table at each priority, over one bucket.
+// tables holds one view of the table per priority; all share one token bucket.
 type tables struct {
 	claim, lease, config, report seam.Table
 }
@@ -106,7 +106,7 @@
 	}
 }
 
-// New starts a daemon. It is ready once it has a configuration.
+// New starts a daemon, which becomes ready once it has loaded a configuration.
 func New(s Settings, p Platform, log *logrus.Logger) (*Daemon, error) {
 	ls, err := listen(s.Listen, p.Network)
 	if err != nil {
@@ -137,15 +137,15 @@
 	return d, nil
 }
 
-// instance names this start of the daemon.
+// instance identifies this run of the daemon; it changes on restart.
 func (d *Daemon) instance() string { return instanceOf(d.Self) }
 
 func instanceOf(m conn.Member) string { return fmt.Sprintf("%s#%d", m.Name, m.Start) }
 
-// Addresses returns where the daemon listens.
+// Addresses returns the addresses that the daemon listens on.
 func (d *Daemon) Addresses() Addresses { return d.addrs }
 
-// Config returns the configuration in force here.
+// Config returns the configuration active in this daemon.
 func (d *Daemon) Config() *version.Config { return d.config.get() }
 
 type listeners struct {
@@ -175,7 +175,7 @@
 	}
 }
 
-// serve starts the servers.
+// serve starts the HTTP servers.
 func (d *Daemon) serve(ls listeners) {
 	d.callers = d.newServer(newCallers(d))
 	d.operators = d.newServer(newOperators(d))
@@ -210,7 +210,7 @@
 	}()
 }
 
-// every runs f at once and then with the period that it returns, until the
+// every runs f immediately and again after each delay that f returns, until the
 // daemon stops.
 func (d *Daemon) every(f func(now time.Time) time.Duration) {
 	d.run(func() {
@@ -225,11 +225,11 @@
 	})
 }
 
-// Stop stops the daemon as planned: unready, then closed to new requests,
-// then finished or handed over, then gone.
+// Stop shuts the daemon down gracefully: it reports unready, stops accepting
+// requests, drains them or hands the rest over to peers, and leaves the mesh.
 func (d *Daemon) Stop(ctx context.Context) {
 	log := d.log.WithField("part", "process")
-	log.Infof("stop: %s is unready", d.Self.Name)
+	log.Infof("shutdown: %s reports unready", d.Self.Name)
 	d.draining.Store(true)
 	d.ready.Store(false)
 	d.callers.SetKeepAlivesEnabled(false)
@@ -243,14 +243,14 @@
 	}
 	if err != nil {
 		n := d.handOver()
-		log.Infof("stop: %d requests handed over: %v", n, err)
+		log.Infof("shutdown: drain incomplete, %d requests handed over: %v", n, err)
 	}
 	d.Hub.Leave(time.Now())
 	sleep(ctx, leavePause)
 	d.Kill()
 }
 
-// leavePause lets the last frames and answers go out.
+// leavePause lets the last frames and answers be sent before connections close.
 const leavePause = 200 * time.Millisecond
 
 func sleep(ctx context.Context, t time.Duration) {
@@ -260,12 +260,12 @@
 	}
 }
 
-// Kill ends the daemon without notice to anyone.
+// Kill stops the daemon at once, without draining or notifying peers.
 func (d *Daemon) Kill() {
 	d.draining.Store(true)
 	d.cancel()
-	// The callers' connections first: what is cut short now has no answer
-	// that a caller should take for one.
+	// Close the callers' connections first, so that no caller takes a
+	// truncated answer for a complete one.
 	d.callers.Close()
 	d.Server.Kill()
 	d.operators.Close()
@@ -276,7 +276,7 @@
 	d.plat.Close()
 }
 
-// background starts what runs by the clock.
+// background starts the periodic tasks.
 func (d *Daemon) background() {
 	d.every(func(now time.Time) time.Duration {
 		d.Server.Works.Tick(now, len(d.Hub.Mesh.Members()))
--- a/process/defaults.go
+++ b/process/defaults.go
@@ -11,7 +11,7 @@
 
 func dur(d time.Duration) version.Duration { return version.Duration{Duration: d} }
 
-// DefaultSettings returns the settings that a file need not name.
+// DefaultSettings returns the defaults of the optional settings.
 func DefaultSettings() Settings {
 	return Settings{
 		Pool: 64,
@@ -33,7 +33,7 @@
 	}
 }
 
-// options returns the request options that the settings stand for.
+// options converts the settings to request options.
 func (s *Settings) options() request.Options {
 	o := request.Defaults()
 	o.Zone = s.Zone
--- a/process/fleet.go
+++ b/process/fleet.go
@@ -16,7 +16,7 @@
 	"streambend.example/seam"
 )
 
-// fleet is what this daemon knows of the boxes and their endpoints.
+// fleet tracks the boxes, their endpoints' load and the demand reported by other daemons.
 type fleet struct {
 	d   *Daemon
 	log *logrus.Entry
@@ -24,32 +24,31 @@
 	mu      sync.Mutex
 	seq     int64
 	boxes   []seam.Box
-	noticed map[string]time.Time // box to deadline
+	noticed map[string]time.Time // box to reclaim deadline
 	classes map[string]toldClass
-	events  map[string]int64 // box to the last cache event
+	events  map[string]int64 // box to its last cache event's sequence number
 	probing map[string]bool
-	demands map[string]heard // daemon to what it has told
+	demands map[string]heard // daemon to its last reported demand
 	told    map[conn.Demand]bool
 	toldAt  time.Time
 }
 
-// toldClass is the class of an endpoint that this daemon has told last.
+// toldClass is the load class last broadcast for an endpoint.
 type toldClass struct {
 	class request.Class
 	at    time.Time
-	again int // how often it was told again since it changed
+	again int // rebroadcasts since the last change
 }
 
-// A watcher tells an endpoint's class again although it has not changed, for those
-// who missed it: a daemon that has just met the others, or does not know the
-// endpoint yet. It does so after firstRetell, then after twice that and so on, at
-// the latest after retell.
+// An unchanged load class is broadcast again for daemons that missed it because they
+// have just joined or did not know the endpoint yet. The interval starts at
+// firstRetell, doubles each time and is capped at retell.
 const (
 	firstRetell = 2 * time.Second
 	retell      = 4 * time.Minute
 )
 
-// due reports whether a class is to be told, and what is noted if so.
+// due reports whether a class must be broadcast, and returns the record to store if so.
 func (c toldClass) due(now time.Time, class request.Class) (toldClass, bool) {
 	if c.class != class || c.at.IsZero() {
 		return toldClass{class: class, at: now}, true
@@ -73,7 +72,7 @@
 	}
 }
 
-// list reads the platform's box list.
+// list polls the platform's box list.
 func (f *fleet) list(now time.Time) time.Duration {
 	period := f.d.sharedPeriod(f.d.Settings.Timing.List.Duration)
 	ctx, cancel := context.WithTimeout(f.d.ctx, tableTimeout)
@@ -91,9 +90,9 @@
 	return period
 }
 
-// take takes a list in, and reports whether it is newer than the one at hand. The
-// list lags, and what it shows may go back in time: boxes that an older one does
-// not show yet have not ended.
+// take stores a box list unless it is older than the current one, and reports
+// whether it did. The list is eventually consistent and may go back in time: a
+// box missing from an older list has not necessarily ended.
 func (f *fleet) take(page seam.BoxPage) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -104,7 +103,7 @@
 	return true
 }
 
-// resync brings the pools in line with the list and the configuration.
+// resync reconciles the endpoint pools with the box list and the configuration.
 func (f *fleet) resync() {
 	now := time.Now()
 	f.mu.Lock()
@@ -123,29 +122,28 @@
 		}
 	}
 	f.found(now, listed...)
-	// A notice may have come before its box was known here.
+	// A notice may arrive before its box is listed.
 	f.d.Server.Notice(now, noticed)
 }
 
-// snapshot returns the boxes as last listed.
+// snapshot returns the most recent box list.
 func (f *fleet) snapshot() []seam.Box {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.boxes
 }
 
-// noticeKept is how long a notice is remembered past its deadline.
+// noticeKept is how long a notice is retained after its deadline.
 const noticeKept = 5 * time.Minute
 
-// found takes in notices that this daemon has found itself, and tells the
-// others of what is news.
+// found processes notices detected by this daemon and broadcasts the new ones.
 func (f *fleet) found(now time.Time, ns ...conn.Notice) {
 	if fresh := f.notice(now, ns); len(fresh) > 0 {
 		f.d.Hub.Tell(conn.Payload{Notices: fresh})
 	}
 }
 
-// notice takes reclaim notices in and returns those that are news.
+// notice records reclaim notices and returns those that are new.
 func (f *fleet) notice(now time.Time, ns []conn.Notice) (fresh []conn.Notice) {
 	var leaves []request.Leave
 	f.mu.Lock()
@@ -163,13 +161,13 @@
 	}
 	f.mu.Unlock()
 	for _, n := range fresh {
-		f.log.Infof("notice: %s leaves in %s", n.Box, n.Deadline.Sub(now).Round(time.Millisecond))
+		f.log.Infof("reclaim notice: box %s leaves in %s", n.Box, n.Deadline.Sub(now).Round(time.Millisecond))
 	}
 	f.d.Server.Notice(now, leaves)
 	return fresh
 }
 
-// notices reads the platform's reclaim notices.
+// notices polls the platform's reclaim notices.
 func (f *fleet) notices(now time.Time) time.Duration {
 	period := f.d.fleetPeriod(f.d.Settings.Timing.List.Duration) / 2
 	ctx, cancel := context.WithTimeout(f.d.ctx, tableTimeout)
@@ -186,11 +184,12 @@
 	return period
 }
 
-// watchers is how many daemons look at each endpoint.
+// watchers is the number of daemons that probe each endpoint.
 const watchers = 2
 
-// watches reports whether this daemon is one that looks at an endpoint: the
-// first of its zone's daemons in rendezvous order, or of all if there is none.
+// watches reports whether this daemon probes an endpoint: it does if it is among
+// the first in rendezvous order of the endpoint's zone, or of all daemons if the
+// zone has none.
 func watches(self conn.Member, members []conn.Member, t *request.Target) bool {
 	in := make([]conn.Member, 0, len(members))
 	for _, m := range members {
@@ -214,8 +213,8 @@
 	return present && ahead < watchers
 }
 
-// watch looks at the load of this daemon's share of the endpoints, and tells
-// the others of those whose class has changed.
+// watch probes this daemon's share of the endpoints and broadcasts the load
+// classes that are due.
 func (f *fleet) watch(time.Time) time.Duration {
 	members := f.d.Hub.Mesh.Members()
 	var wg sync.WaitGroup
@@ -259,8 +258,8 @@
 	delete(f.probing, box)
 }
 
-// probe asks one endpoint for its load. It reports whether the others are to
-// be told of its class.
+// probe queries one endpoint's load. It returns its load class and whether that
+// is due to be broadcast.
 func (f *fleet) probe(w *request.Work, t *request.Target) (conn.LoadClass, bool) {
 	ctx, cancel := context.WithTimeout(f.d.ctx, f.d.Settings.Timing.Watch.Duration)
 	defer cancel()
@@ -271,7 +270,7 @@
 	now := time.Now()
 	if err != nil {
 		if _, leaving := t.Leaving(); !leaving && f.d.ctx.Err() == nil && t.Fail(now, false) {
-			f.log.Warnf("eject: %s does not tell its load: %v", t.ID, err)
+			f.log.Warnf("eject: load probe of %s failed: %v", t.ID, err)
 		}
 		return conn.LoadClass{}, false
 	}
@@ -307,7 +306,7 @@
 	f.mu.Unlock()
 }
 
-// hear takes in the class that a watcher has told of.
+// hear records a load class broadcast by another daemon.
 func (f *fleet) hear(now time.Time, l conn.LoadClass) {
 	if l.Class < 0 || l.Class > int(request.Leaving) {
 		return
@@ -323,8 +322,8 @@
 	demandLife   = 25 * time.Second
 )
 
-// demand tells the others how many requests of each service are here, when
-// that has changed.
+// demand broadcasts the number of running and queued requests per service when it
+// changes, and repeats it every demandRepeat.
 func (f *fleet) demand(now time.Time) time.Duration {
 	var ds []conn.Demand
 	for _, w := range f.d.Server.Works.All() {
@@ -345,15 +344,15 @@
 	f.mu.Unlock()
 	if due {
 		f.hearDemand(now, f.d.Self.Name, ds)
-		// The empty demand keeps the list from being left out when there is
-		// no other.
+		// The empty element keeps the codec from omitting the list when there
+		// is no demand.
 		f.d.Hub.Tell(conn.Payload{Demands: append(ds, conn.Demand{})})
 	}
 	return demandPeriod
 }
 
-// roughly rounds a count up to two steps for each doubling, so that small
-// changes need not be told.
+// roughly rounds a count up to one of two steps per doubling, so that small
+// changes are not broadcast.
 func roughly(n int) int {
 	step := 1
 	for step*4 < n {
@@ -368,7 +367,7 @@
 	f.demands[from] = heard{at: now, demands: ds}
 }
 
-// demandOf returns how many requests of a service are at all daemons.
+// demandOf returns the number of requests for a service across all daemons.
 func (f *fleet) demandOf(now time.Time, service string) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/process/http_test.go
+++ b/process/http_test.go
@@ -45,7 +45,7 @@
 	return newBench(t, svc, standin.NewEngine(seam.TCP{}, "e", fast, standin.NewLedger()))
 }
 
-func TestWrongRequestsGetANumberedRefusal(t *testing.T) {
+func TestInvalidRequestsGetErrorCode(t *testing.T) {
 	w := newModelBench(t)
 	ok := `{"model":"digest","prompt":"a","max_tokens":2}`
 	for _, c := range []struct {
@@ -89,7 +89,7 @@
 	assert.Equal(t, http.StatusOK, resp.StatusCode, body)
 }
 
-func TestStockShapes(t *testing.T) {
+func TestOpenAIResponseFormats(t *testing.T) {
 	w := newModelBench(t)
 	_, body := w.ask(t, "POST", w.through+"/v1/chat/completions", benchToken, nil, `{"model":"digest","messages":[{"role":"user","content":"hi"}],"max_tokens":3}`)
 	var chat struct {
@@ -116,7 +116,7 @@
 	assert.Contains(t, body, `"id":"digest"`)
 }
 
-func TestSameKeyJoinsAndContinues(t *testing.T) {
+func TestSameIdempotencyKeyResumesAnswer(t *testing.T) {
 	w := newModelBench(t)
 	body := `{"model":"digest","prompt":"hi","max_tokens":6,"stream":true}`
 	key := map[string]string{"Idempotency-Key": "k1"}
@@ -131,7 +131,7 @@
 
 func operatorsOf(w *bench) string { return "http://" + w.daemon.Addresses().Operators }
 
-func TestOperatorsSeeAndTouchOnlyTheirOwn(t *testing.T) {
+func TestOperatorAccessControl(t *testing.T) {
 	w := newModelBench(t)
 	base := operatorsOf(w)
 	intent := func(partner, name string) string {
@@ -189,7 +189,7 @@
 	for range 2 {
 		resp, body := w.ask(t, "POST", base+"/v1/plans/"+a.ID+"/confirm", "officer", nil, "")
 		assert.Equal(t, http.StatusOK, resp.StatusCode)
-		assert.Contains(t, body, `"accepted":2`, "twice is one change")
+		assert.Contains(t, body, `"accepted":2`, "confirm is idempotent")
 	}
 	resp, body := w.ask(t, "POST", base+"/v1/plans/"+b.ID+"/confirm", "officer", nil, "")
 	assert.Equal(t, http.StatusConflict, resp.StatusCode)
--- a/process/jobs.go
+++ b/process/jobs.go
@@ -15,19 +15,19 @@
 	"streambend.example/version"
 )
 
-// lead does the jobs that one daemon at a time does: it holds the leases of
-// the services' capacity and orders boxes under them.
+// lead runs the jobs that only one daemon at a time may run: it holds the
+// services' capacity leases and starts and stops boxes under them.
 type lead struct {
 	d     *Daemon
 	log   *logrus.Entry
-	loads *rate.Limiter // orders to load weights
+	loads *rate.Limiter // limits orders to load weights
 
-	prices   []seam.Price // read by placeAll alone
+	prices   []seam.Price // used only by placeAll
 	pricedAt time.Time
 
 	mu     sync.Mutex
 	shards map[string]*shard
-	frozen time.Time // for fault tests: the time that this part believes in
+	frozen time.Time // in fault tests, the time at which this lead's clock stopped; otherwise zero
 }
 
 // shard is the capacity of one service.
@@ -40,15 +40,15 @@
 	stopping map[string]time.Time
 	loaded   map[string]bool
 	dear     map[string]time.Time
-	lost     map[string]float64 // zone to boxes lost lately, fading
+	lost     map[string]float64 // zone to recently lost boxes, decaying over time
 	seenGone map[string]bool
 	surplus  time.Time
-	blind    time.Time // since when the table has not answered; zero if it has
+	blind    time.Time // start of the current table outage; zero if the table answers
 	need     forecast
 	last     version.PlaceDecision
 }
 
-// orderedBox is a box that the list does not show yet.
+// orderedBox is a started box that the box list may not show yet.
 type orderedBox struct {
 	box seam.Box
 	at  time.Time
@@ -62,17 +62,17 @@
 }
 
 const (
-	contenders   = 2 // daemons that try for a lease
+	contenders   = 2 // daemons that compete for a lease
 	orderedLife  = 30 * time.Second
 	refuseFirst  = 2 * time.Second
 	refuseMost   = 2 * time.Minute
 	placePeriod  = 500 * time.Millisecond
-	orderLongest = 5 * time.Second // an order to an endpoint takes no longer
+	orderLongest = 5 * time.Second // timeout of an order to the cloud or an endpoint
 	swapAfter    = 10 * time.Minute
 	pricesLife   = 15 * time.Second
 )
 
-// contends reports whether this daemon is one that tries for a shard's lease.
+// contends reports whether this daemon competes for a shard's lease, by rendezvous order.
 func (l *lead) contends(name string) bool {
 	mine := xxhash.Sum64String(l.d.Self.Name + "|" + name)
 	ahead := 0
@@ -84,8 +84,8 @@
 	return ahead < contenders
 }
 
-// step renews the leases held, and tries for those that this daemon contends
-// for.
+// step renews the leases held and tries to acquire those that this daemon
+// competes for.
 func (l *lead) step(time.Time) time.Duration {
 	period := l.d.Settings.Timing.Lease.Duration / 3
 	if l.isFrozen() || l.d.draining.Load() {
@@ -121,15 +121,15 @@
 		s.blind = time.Time{}
 	case s.blind.IsZero():
 		s.blind = now
-		l.log.Warnf("lease: %s: %v", key, err)
+		l.log.Warnf("lease: renewing or acquiring %s failed: %v", key, err)
 	}
 	epoch, ok := s.lease.Held(time.Now())
 	if ok && !held {
 		s.since = now
-		l.log.Infof("lease: %s taken, epoch %d", key, epoch)
+		l.log.Infof("lease: acquired %s, epoch %d", key, epoch)
 	}
 	if !ok && held {
-		l.log.Infof("lease: %s lost", key)
+		l.log.Infof("lease: lost %s", key)
 	}
 }
 
@@ -139,7 +139,7 @@
 	return !l.frozen.IsZero()
 }
 
-// clock returns the time that leases are judged by; the caller holds the lock.
+// clock returns the time used for lease expiry; the caller must hold mu.
 func (l *lead) clock() time.Time {
 	if !l.frozen.IsZero() {
 		return l.frozen
@@ -147,9 +147,8 @@
 	return time.Now()
 }
 
-// FreezeLeases makes this daemon as blind as a stopped process towards its
-// leases, for fault tests: it neither renews them nor notices that they lapse,
-// and goes on to order under them.
+// FreezeLeases simulates a paused process in fault tests: the daemon neither
+// renews its leases nor notices that they expire, and keeps issuing orders under them.
 func (d *Daemon) FreezeLeases(now time.Time, on bool) {
 	d.lead.mu.Lock()
 	defer d.lead.mu.Unlock()
@@ -176,7 +175,7 @@
 	return s
 }
 
-// release frees all leases, for a planned stop.
+// release releases all leases on a graceful shutdown.
 func (l *lead) release() {
 	l.mu.Lock()
 	leases := make([]version.Lease, 0, len(l.shards))
@@ -188,14 +187,14 @@
 	for _, lease := range leases {
 		ctx, cancel := context.WithTimeout(l.d.ctx, tableTimeout)
 		if err := lease.Release(ctx, time.Now(), l.d.tables.lease); err != nil {
-			l.log.Warnf("lease: %s not released: %v", lease.Shard, err)
+			l.log.Warnf("lease: releasing %s failed: %v", lease.Shard, err)
 		}
 		cancel()
 	}
 }
 
-// status returns who holds a shard by the table's word, or by our last if the
-// table does not answer.
+// status returns a shard's lease holder as read from the table, or as last known
+// here if the table does not answer.
 func (l *lead) status(ctx context.Context, key string) leaseStatus {
 	row, err := version.ReadLease(ctx, l.d.tables.report, key)
 	s := l.shard(key)
@@ -214,5 +213,6 @@
 	return s.lease.Held(l.clock())
 }
 
-// maxGenerations bounds how many used-up start tokens are tried in one go.
+// maxGenerations is the maximum number of start tokens tried per order; a token
+// whose box is leaving is skipped.
 const maxGenerations = 16
--- a/process/operators.go
+++ b/process/operators.go
@@ -23,17 +23,17 @@
 
 const planPart = "plan"
 
-// maxIntent bounds the body of an intent.
+// maxIntent is the maximum size of an intent's body in bytes.
 const maxIntent = 256 << 10
 
-// operators serves the operators.
+// operators handles the HTTP API for operators.
 type operators struct {
 	d      *Daemon
 	log    *logrus.Entry
 	tokens map[string]Operator
 }
 
-// newOperators returns the handler of the operators' address.
+// newOperators returns the HTTP handler for the operators' address.
 func newOperators(d *Daemon) http.Handler {
 	o := &operators{d: d, log: d.log.WithField("part", "operators"), tokens: make(map[string]Operator)}
 	for _, x := range d.Settings.Operators {
@@ -53,10 +53,10 @@
 	return mux
 }
 
-// operatorFunc answers one operator.
+// operatorFunc handles one authenticated request of an operator.
 type operatorFunc func(ctx context.Context, who Operator, r *http.Request) (any, error)
 
-// as wraps a function for operators of at least a role.
+// as returns a handler that requires an operator token with at least the given role.
 func (o *operators) as(role string, f operatorFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		who, ok := o.tokens[bearer(r)]
@@ -82,7 +82,7 @@
 	}
 }
 
-// movedError is a conflict that brings the plan made afresh.
+// movedError is a conflict response that carries a new plan on the current base version.
 type movedError struct {
 	errorBody
 	Plan *version.Plan `json:"plan,omitempty"`
@@ -90,8 +90,8 @@
 
 func (m *movedError) Error() string { return m.errorBody.Error.Message }
 
-// fresh returns the newest configuration that can be had: the table's, or what
-// is in force here while the table is down.
+// fresh returns the newest available configuration: the table's, or the locally
+// active one while the table is down.
 func (o *operators) fresh(ctx context.Context) *version.Config {
 	c, fresh, err := o.d.config.log.Advance(ctx, o.d.Config())
 	if err == nil {
@@ -125,7 +125,7 @@
 	return o.plan(ctx, who, version.Service{Partner: who.Partner, Name: r.PathValue("name")}, true)
 }
 
-// plan makes a plan and keeps it, so that any daemon can confirm it.
+// plan makes a plan and stores it in the table, so that any daemon can confirm it.
 func (o *operators) plan(ctx context.Context, who Operator, s version.Service, withdraw bool) (version.Plan, error) {
 	now := time.Now()
 	p, err := version.MakePlan(now, o.fresh(ctx), o.market(ctx), who.Name, s, withdraw)
@@ -164,16 +164,16 @@
 	return o.load(ctx, who, r.PathValue("id"))
 }
 
-// confirmed tells that a plan is durable, and where it is in force already.
+// confirmed reports that a plan is durable, and which daemons have it active.
 type confirmed struct {
 	Plan     string   `json:"plan"`
-	Accepted int64    `json:"accepted"` // version that holds it
-	InForce  int      `json:"in_force"` // daemons that have it
+	Accepted int64    `json:"accepted"` // configuration version that contains the plan
+	InForce  int      `json:"in_force"` // number of daemons with that version
 	Daemons  int      `json:"daemons"`
 	Missing  []string `json:"missing"`
 }
 
-// inForceWait is how long a confirm waits for all daemons.
+// inForceWait is how long a confirm waits for all daemons to activate the version.
 const inForceWait = 2 * time.Second
 
 func (o *operators) serveConfirm(ctx context.Context, who Operator, r *http.Request) (any, error) {
@@ -193,13 +193,13 @@
 		ctx, cancel := context.WithTimeout(o.d.ctx, 2*tableTimeout)
 		defer cancel()
 		if err := o.d.config.log.Snapshot(ctx, c); err != nil {
-			o.log.Infof("snapshot: %v", err)
+			o.log.Infof("configuration snapshot failed: %v", err)
 		}
 	}()
 	return o.spreadState(ctx, p.ID, c.Applied[p.ID]), nil
 }
 
-// spreadState asks the daemons until all have a version, or for a short while.
+// spreadState polls the daemons until all have a version active or inForceWait has passed.
 func (o *operators) spreadState(ctx context.Context, plan string, v int64) confirmed {
 	deadline := time.Now().Add(inForceWait)
 	for {
@@ -219,7 +219,7 @@
 	}
 }
 
-// conflict adds a fresh plan to an error that says that the base has moved.
+// conflict adds a new plan to an error caused by an outdated plan, and returns other errors as they are.
 func (o *operators) conflict(ctx context.Context, who Operator, p version.Plan, err error) error {
 	switch code.Of(err) {
 	case code.Conflict, code.PoolExceeded, code.PlanExpired:
@@ -257,7 +257,7 @@
 	return o.d.registry.GetAll(), nil
 }
 
-// gauges registers the metrics.
+// gauges registers the metrics gauges.
 func (d *Daemon) gauges() {
 	c := &d.Server.Count
 	for name, v := range map[string]func() int64{
--- a/process/place.go
+++ b/process/place.go
@@ -14,7 +14,7 @@
 	"streambend.example/version"
 )
 
-// placeAll decides and orders for each service whose lease is ours.
+// placeAll runs placement for each service that this daemon may start boxes for.
 func (l *lead) placeAll(now time.Time) time.Duration {
 	cfg := l.d.Config()
 	for key, row := range cfg.Rows {
@@ -33,7 +33,7 @@
 	return placePeriod
 }
 
-// askPrices asks for the prices; if the cloud does not answer, the old stay.
+// askPrices refreshes the prices; if the cloud does not answer, the old ones remain.
 func (l *lead) askPrices(now time.Time) {
 	ctx, cancel := context.WithTimeout(l.d.ctx, tableTimeout)
 	defer cancel()
@@ -42,11 +42,10 @@
 	}
 }
 
-// mayStart reports whether this daemon may start boxes of a shard: as the
-// holder of its lease or, once the table has been silent for a term, as one
-// that contends for it. Without the lease nothing is stopped and no order goes
-// to an endpoint; a start is harmless, since whoever orders for the same slot
-// uses the same token.
+// mayStart reports whether this daemon may start boxes of a shard: as its lease
+// holder or, after a table outage of one lease term, as a contender. Without the lease
+// no box is stopped and no endpoint gets an order; a start is safe, since all daemons
+// use the same idempotency token for the same slot.
 func (l *lead) mayStart(s *shard) bool {
 	if _, ok := l.held(s); ok {
 		return true
@@ -56,7 +55,7 @@
 	return !s.blind.IsZero() && time.Since(s.blind) > s.lease.Term
 }
 
-// place decides for one service and carries the decision out.
+// place makes the placement decision for one service and executes it.
 func (l *lead) place(svc version.Service, s *shard, prices []seam.Price) {
 	now := time.Now()
 	in := l.input(now, svc, s, prices)
@@ -80,7 +79,7 @@
 	l.loadWeights(svc, s, in.Boxes)
 }
 
-// input gathers what the policy decides from.
+// input collects the inputs of the placement policy.
 func (l *lead) input(now time.Time, svc version.Service, s *shard, prices []seam.Price) version.PlaceInput {
 	boxes := l.boxesOf(now, svc, s)
 	in := version.PlaceInput{
@@ -112,8 +111,8 @@
 	return in
 }
 
-// boxesOf returns the service's boxes: the list, what we ordered and the list
-// does not show yet, and what we know to be leaving.
+// boxesOf returns the service's boxes: those listed, with boxes known to be leaving
+// marked as such, and those started here that the list does not show yet.
 func (l *lead) boxesOf(now time.Time, svc version.Service, s *shard) []seam.Box {
 	var out []seam.Box
 	listed := make(map[string]bool)
@@ -141,7 +140,7 @@
 	return out
 }
 
-// leaves reports whether a box is known to leave.
+// leaves reports whether there is a reclaim notice for a box.
 func (f *fleet) leaves(box string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -149,9 +148,9 @@
 	return ok
 }
 
-// lossShare turns losses into a share of the zone's boxes; the counts fade.
+// lossShare returns each zone's losses as a share of its boxes, and decays the loss counts.
 func lossShare(lost map[string]float64, boxes []seam.Box) map[string]float64 {
-	const fade = 0.9995 // of a placement period
+	const fade = 0.9995 // decay factor per placement period
 	have := make(map[string]float64)
 	for _, b := range boxes {
 		have[b.Zone]++
@@ -164,13 +163,13 @@
 	return out
 }
 
-// start orders one box. The token is the same whoever orders for the same
-// slot, so two daemons that both believe they hold the lease start one box.
+// start starts one box. The idempotency token depends only on the slot, so two
+// daemons that both believe they hold the lease start a single box.
 func (l *lead) start(svc version.Service, s *shard, o seam.StartOrder) {
 	kind := version.BoxKind{Zone: o.Zone, Class: o.Class, Reclaimable: o.Reclaimable}
 	for range maxGenerations {
 		if !l.mayStart(s) {
-			l.log.Infof("place: %s not ordered, the lease is over", svc.Key())
+			l.log.Infof("place: %s: start abandoned, lease expired", svc.Key())
 			return
 		}
 		ctx, cancel := context.WithTimeout(l.d.ctx, orderLongest)
@@ -181,11 +180,11 @@
 			l.mu.Lock()
 			s.refused[kind] = time.Now().Add(s.backoff[kind])
 			l.mu.Unlock()
-			l.log.Infof("place: %s refused in %s (%s, reclaimable %t), again in %s", svc.Key(), kind.Zone, kind.Class, kind.Reclaimable, s.backoff[kind])
+			l.log.Infof("place: %s: start refused in %s (class %s, reclaimable %t), retry in %s", svc.Key(), kind.Zone, kind.Class, kind.Reclaimable, s.backoff[kind])
 			return
 		}
 		if err != nil {
-			l.log.Warnf("place: %s start %s: %v", svc.Key(), o.Token, err)
+			l.log.Warnf("place: %s: start with token %s failed: %v", svc.Key(), o.Token, err)
 			return
 		}
 		if b.State >= seam.BoxLeaving {
@@ -194,13 +193,13 @@
 		}
 		delete(s.backoff, kind)
 		s.ordered[b.ID] = orderedBox{box: b, at: time.Now()}
-		l.log.Infof("place: %s starts %s in %s, %.2f an hour", svc.Key(), b.ID, o.Zone, b.Price)
+		l.log.Infof("place: %s: started box %s in %s, price %.2f per hour", svc.Key(), b.ID, o.Zone, b.Price)
 		return
 	}
 }
 
-// retire takes a box out of use: it gets no new work, and ends once what runs
-// there has had time to finish.
+// retire drains a box: it gets no new requests and is stopped after the drain
+// timeout.
 func (l *lead) retire(now time.Time, svc version.Service, s *shard, id string) {
 	wait := l.d.Settings.Timing.Drain.Duration
 	s.stopping[id] = now
@@ -208,19 +207,19 @@
 	time.AfterFunc(wait, func() {
 		epoch, held := l.held(s)
 		if !held {
-			return // the next holder finds the box leaving and ends it
+			return // the next lease holder sees the box leaving and stops it
 		}
 		ctx, cancel := context.WithTimeout(l.d.ctx, orderLongest)
 		defer cancel()
 		if err := l.d.plat.Cloud.Stop(ctx, id, epoch); err != nil {
-			l.log.Warnf("place: %s stop %s: %v", svc.Key(), id, err)
+			l.log.Warnf("place: %s: stopping box %s failed: %v", svc.Key(), id, err)
 		}
 	})
 }
 
-// loadWeights orders new boxes to load the service's model, no faster than
-// the weight store allows. An engine that does not check fences gets its order
-// only when every order of an earlier holder must be over.
+// loadWeights orders new boxes to load the service's model, at no more than the rate
+// that the weight store allows. An engine that does not check fencing tokens gets its order only
+// after every order of an earlier lease holder must have ended.
 func (l *lead) loadWeights(svc version.Service, s *shard, boxes []seam.Box) {
 	if svc.Kind != version.Model || svc.Model == "" {
 		return
@@ -239,14 +238,14 @@
 		err := l.d.Server.Client.Order(ctx, b.Address, epoch, svc.Model, "serve")
 		cancel()
 		if err != nil {
-			l.log.Infof("place: %s order to %s: %v", svc.Key(), b.ID, err)
+			l.log.Infof("place: %s: load order to box %s failed: %v", svc.Key(), b.ID, err)
 			continue
 		}
 		s.loaded[b.ID] = true
 	}
 }
 
-// forecast turns the demand seen into boxes needed: up at once, down slowly.
+// forecast estimates the boxes needed from observed demand: it rises immediately and decays slowly.
 type forecast struct {
 	level float64
 	at    time.Time
--- a/process/settings.go
+++ b/process/settings.go
@@ -21,7 +21,7 @@
 	"streambend.example/version"
 )
 
-// Settings are the settings of a daemon, as the JSON file has them.
+// Settings holds the settings of a daemon, as read from the JSON file.
 type Settings struct {
 	Name      string           `json:"name" validate:"required,max=64" doc:"name of this daemon, unique among the daemons"`
 	Zone      string           `json:"zone" validate:"required,max=64" doc:"availability zone of its box"`
@@ -48,7 +48,7 @@
 	Peers     string `json:"peers" validate:"required,hostname_port" doc:"host:port for other daemons; they reach us there"`
 }
 
-// PlatformSettings say how the platform's services are reached.
+// PlatformSettings configures access to the platform's services.
 type PlatformSettings struct {
 	Endpoint  string  `json:"endpoint" validate:"omitempty,url" doc:"URL of table and object store; empty for the region's own"`
 	Region    string  `json:"region" validate:"required" doc:"region of table and object store"`
@@ -61,13 +61,13 @@
 	LoadRate  float64 `json:"load_rate" validate:"gt=0" doc:"orders a second to load weights, at the most"`
 }
 
-// PeerSettings say how other daemons are reached.
+// PeerSettings configures the links to other daemons.
 type PeerSettings struct {
 	Secret string   `json:"secret" validate:"min=16" doc:"shared secret that signs the links; the same at every daemon"`
 	Seeds  []string `json:"seeds" validate:"dive,hostname_port" doc:"peer addresses to try when the table does not answer"`
 }
 
-// Caller is a team's token.
+// Caller holds a team's token, identity and weight.
 type Caller struct {
 	TokenSHA256 string  `json:"token_sha256" validate:"len=64,hexadecimal" doc:"SHA-256 of the bearer token, in hex"`
 	Partner     string  `json:"partner" validate:"required,max=64" doc:"partner of the team"`
@@ -75,7 +75,7 @@
 	Weight      float64 `json:"weight" validate:"gt=0" doc:"share against the other teams"`
 }
 
-// Operator is an operator's token.
+// Operator holds an operator's token, identity and role.
 type Operator struct {
 	TokenSHA256 string `json:"token_sha256" validate:"len=64,hexadecimal" doc:"SHA-256 of the bearer token, in hex"`
 	Partner     string `json:"partner" validate:"required,max=64" doc:"partner whose intents it may see"`
@@ -83,7 +83,7 @@
 	Role        string `json:"role" validate:"oneof=operator reader" doc:"operator may change, reader may look"`
 }
 
-// Limits bound what callers may send.
+// Limits bounds the resources that callers may use.
 type Limits struct {
 	BodyBytes   int64 `json:"body_bytes" validate:"gte=1024,lte=1073741824" doc:"body of a request, and answer of a plain service"`
 	HeaderBytes int   `json:"header_bytes" validate:"gte=1024,lte=1048576" doc:"headers of a request"`
@@ -92,7 +92,7 @@
 	KeptAnswers int   `json:"kept_answers" validate:"gte=1,lte=1000000" doc:"finished answers kept for callers who come back with their key"`
 }
 
-// Timing holds periods and bounds of time.
+// Timing holds periods and timeouts.
 type Timing struct {
 	Deadline  version.Duration `json:"deadline" doc:"of a request whose caller and route name none"`
 	Grace     version.Duration `json:"grace" doc:"how long past its deadline a running request goes on"`
@@ -107,19 +107,19 @@
 	Hold      version.Duration `json:"hold" doc:"how long there must be a surplus before a box is stopped"`
 }
 
-// LogSettings say what is logged.
+// LogSettings configures logging.
 type LogSettings struct {
 	Level string `json:"level" validate:"oneof=debug info warning error" doc:"least severity"`
 	JSON  bool   `json:"json" doc:"JSON lines instead of text"`
 }
 
-// TLSSettings name a certificate.
+// TLSSettings configures the TLS certificate.
 type TLSSettings struct {
 	Certificate string `json:"certificate" validate:"required_with=Key" doc:"file of the certificate chain"`
 	Key         string `json:"key" validate:"required_with=Certificate" doc:"file of its key"`
 }
 
-// Problem is one wrong setting.
+// Problem describes one invalid setting.
 type Problem struct {
 	Code code.Code
 	Path string // JSON path
@@ -129,7 +129,7 @@
 // String returns the problem on one line.
 func (p Problem) String() string { return fmt.Sprintf("%s: %s: %s", p.Code, p.Path, p.Text) }
 
-// Problems are all wrong settings of a file.
+// Problems lists all invalid settings of a file.
 type Problems []Problem
 
 // Error implements error.
@@ -141,8 +141,8 @@
 	return strings.Join(lines, "\n")
 }
 
-// ReadSettings reads and checks settings. Settings that the file does not name
-// keep their defaults. The error is Problems and names every wrong setting.
+// ReadSettings reads and validates settings. Settings missing from the file keep
+// their defaults. For invalid settings the error is a Problems that lists all of them.
 func ReadSettings(r io.Reader) (Settings, error) {
 	s := DefaultSettings()
 	b, err := io.ReadAll(r)
@@ -165,9 +165,9 @@
 	return s, nil
 }
 
-// decodeTree fills s in. The decoder stops at some errors and then names no
-// unknown fields, so what is wrong is taken out of the tree and the rest
-// decoded again, until nothing is wrong with it.
+// decodeTree decodes tree into s. On some errors the decoder stops without
+// reporting unknown fields, so invalid values are removed from the tree and the
+// rest is decoded again until no error remains.
 func decodeTree(tree map[string]any, s *Settings) Problems {
 	var out Problems
 	for {
@@ -204,7 +204,7 @@
 }
 
 // remove sets the value at a path such as callers[0].weight to nil, which the
-// decoder passes over. It reports whether there was one.
+// decoder skips. It reports whether there was a value.
 func remove(v any, path string) bool {
 	name, rest, deeper := strings.Cut(path, ".")
 	name, index, listed := strings.Cut(name, "[")
@@ -250,7 +250,7 @@
 	return out
 }
 
-// newValidator returns a validator that names fields as the file does.
+// newValidator returns a validator that reports fields by their JSON names.
 func newValidator() *validator.Validate {
 	v := validator.New(validator.WithRequiredStructEnabled())
 	v.RegisterTagNameFunc(func(f reflect.StructField) string {
@@ -303,7 +303,7 @@
 	return out
 }
 
-// access returns how table and object store are reached.
+// access returns the access parameters of the table and the object store.
 func (p PlatformSettings) access() cloud.Access {
 	return cloud.Access{Endpoint: p.Endpoint, Region: p.Region, KeyID: p.KeyID, Secret: p.Secret}
 }
--- a/process/settings_test.go
+++ b/process/settings_test.go
@@ -24,13 +24,13 @@
 	return string(b)
 }
 
-func TestExampleSettingsAreRight(t *testing.T) {
+func TestExampleSettingsAreValid(t *testing.T) {
 	s, err := process.ReadSettings(strings.NewReader(example(t)))
 	require.NoError(t, err)
 	assert.Equal(t, "entry-1", s.Name)
 }
 
-func TestEveryWrongSettingIsNamedAtOnce(t *testing.T) {
+func TestReportsAllInvalidSettings(t *testing.T) {
 	text := `{
 		"name": "", "zone": 7, "pool": 0, "colour": "red", "isolated": "maybe",
 		"listen": {"callers": "nowhere", "operators": "127.0.0.1:1", "peers": "127.0.0.1:2"},
@@ -67,8 +67,8 @@
 	assert.ErrorContains(t, err, "$.callers[1].token_sha256")
 }
 
-// rows lists every setting with its meaning and default, as the table in
-// docs/OPERATORS.md has them.
+// rows returns the table rows of docs/OPERATORS.md: one per setting, with its
+// default and description.
 func rows(path string, v reflect.Value) []string {
 	var out []string
 	t := v.Type()
@@ -113,7 +113,7 @@
 	f.Fuzz(func(t *testing.T, text string) {
 		s, err := process.ReadSettings(strings.NewReader(text))
 		if err == nil && (s.Name == "" || s.Pool < 1 || s.Timing.Lease.Duration <= 0) {
-			t.Fatalf("taken as right: %q", text)
+			t.Fatalf("invalid settings accepted: %q", text)
 		}
 	})
 }
--- a/process/status.go
+++ b/process/status.go
@@ -27,7 +27,7 @@
 	Class       string  `json:"class"`
 	Reclaimable bool    `json:"reclaimable"`
 	State       string  `json:"state"` // of the box
-	Load        string  `json:"load"`  // class of its load
+	Load        string  `json:"load"`  // load class
 	Requests    int     `json:"requests"`
 	Ejected     bool    `json:"ejected"`
 	Hourly      float64 `json:"hourly"`
@@ -37,9 +37,9 @@
 	Service     string  `json:"service"`
 	Boxes       int     `json:"boxes"`
 	Demand      int     `json:"demand"`
-	Running     int     `json:"running"` // here
-	Queued      int     `json:"queued"`  // here
-	Limit       int     `json:"limit"`   // here
+	Running     int     `json:"running"` // in this daemon
+	Queued      int     `json:"queued"`  // in this daemon
+	Limit       int     `json:"limit"`   // in this daemon
 	Hourly      float64 `json:"hourly"`
 	HourlyBound float64 `json:"hourly_bound"`
 }
@@ -50,7 +50,7 @@
 	Until   time.Time       `json:"until"`
 }
 
-// Status is what an operator sees of the system through one daemon.
+// Status is the state of the system as one daemon reports it to operators.
 type Status struct {
 	Daemon    string           `json:"daemon"`
 	Ready     bool             `json:"ready"`
@@ -110,7 +110,7 @@
 	st.Services = append(st.Services, ss)
 }
 
-// refusedStarts returns the kinds of box that the cloud has refused lately.
+// refusedStarts returns the kinds of box whose starts are backed off after a refusal by the cloud.
 func (l *lead) refusedStarts(now time.Time, key string) []refusedStatus {
 	l.mu.Lock()
 	defer l.mu.Unlock()
