--- a/process/answer.go
+++ b/process/answer.go
@@ -39,30 +39,30 @@
 
 // modelWriter writes a model's answer in the format that the caller requested.
 type modelWriter struct {
-	w    http.ResponseWriter
-	r    *request.Request
-	head modelAnswer
-	chat bool
-	buf  []byte
+	w        http.ResponseWriter
+	r        *request.Request
+	template modelAnswer
+	chat     bool
+	buf      []byte
 }
 
 func newModelWriter(w http.ResponseWriter, r *request.Request, model string) *modelWriter {
 	o := &modelWriter{w: w, r: r, chat: r.Path == request.ChatPath}
-	o.head = modelAnswer{ID: "cmpl-" + r.ID, Object: "text_completion", Created: r.Arrived.Unix(), Model: model}
+	o.template = modelAnswer{ID: "cmpl-" + r.ID, Object: "text_completion", Created: r.Arrived.Unix(), Model: model}
 	if o.chat {
-		o.head.ID = "chatcmpl-" + r.ID
+		o.template.ID = "chatcmpl-" + r.ID
 	}
 	return o
 }
 
-// whole writes the complete answer once it has ended.
-func (o *modelWriter) whole(ctx context.Context, a *request.Answer) {
-	if err := wait(ctx, a); err != nil {
+// writeWhole writes the complete answer once it has ended.
+func (o *modelWriter) writeWhole(ctx context.Context, a *request.Answer) {
+	if err := waitForEnd(ctx, a); err != nil {
 		writeError(o.w, err)
 		return
 	}
 	snap, u, reason := a.Snapshot(), a.Usage(), a.Finish()
-	ans, text := o.head, string(snap.Text)
+	ans, text := o.template, string(snap.Text)
 	ch := modelChoice{FinishReason: &reason}
 	if o.chat {
 		ans.Object = "chat.completion"
@@ -71,18 +71,18 @@
 		ch.Text = &text
 	}
 	ans.Choices, ans.Usage = []modelChoice{ch}, &u
-	o.w.Header().Set(headRan, code.RanWhole.String())
+	o.w.Header().Set(headerRan, code.RanWhole.String())
 	writeJSON(o.w, http.StatusOK, ans)
 }
 
-// stream writes the answer as server-sent events, starting after the last event
+// writeStream writes the answer as server-sent events, starting after the last event
 // that the caller has received. Nothing is written before the first token, so
 // that a refusal can still set the HTTP status.
-func (o *modelWriter) stream(ctx context.Context, a *request.Answer) {
+func (o *modelWriter) writeStream(ctx context.Context, a *request.Answer) {
 	changed, stop := a.Follow()
 	defer stop()
 	if o.chat {
-		o.head.Object = "chat.completion.chunk"
+		o.template.Object = "chat.completion.chunk"
 	}
 	after, begun := o.r.After, false
 	var events []request.Event
@@ -98,15 +98,15 @@
 		if len(events) > 0 || done && err == nil {
 			if !begun {
 				begun = true
-				o.begin()
+				o.writeHeader()
 			}
 			for _, e := range events {
-				o.event(e)
+				o.appendEvent(e)
 				after = e.Number
 			}
 		}
 		if done {
-			o.end(a, begun, after, err)
+			o.writeEnd(a, begun, after, err)
 			return
 		}
 		if begun {
@@ -115,15 +115,15 @@
 	}
 }
 
-func (o *modelWriter) begin() {
+func (o *modelWriter) writeHeader() {
 	h := o.w.Header()
 	h.Set("Content-Type", "text/event-stream")
 	h.Set("Cache-Control", "no-cache")
 	o.w.WriteHeader(http.StatusOK)
 }
 
-// event appends one event to the buffer.
-func (o *modelWriter) event(e request.Event) {
+// appendEvent appends one appendEvent to the buffer.
+func (o *modelWriter) appendEvent(e request.Event) {
 	ch := modelChoice{}
 	if o.chat {
 		ch.Delta = &chatContent{Content: e.Text}
@@ -133,11 +133,11 @@
 	} else {
 		ch.Text = &e.Text
 	}
-	o.chunk(e.Number, ch, nil)
+	o.appendChunk(e.Number, ch, nil)
 }
 
-func (o *modelWriter) chunk(number int, ch modelChoice, u *conn.Usage) {
-	ans := o.head
+func (o *modelWriter) appendChunk(number int, ch modelChoice, u *conn.Usage) {
+	ans := o.template
 	ans.Choices, ans.Usage = []modelChoice{ch}, u
 	b, err := json.Marshal(ans)
 	if err != nil {
@@ -150,9 +150,9 @@
 	o.buf = append(o.buf, "\n\n"...)
 }
 
-// end writes the final event. An incomplete answer gets an error event and no
-// end marker.
-func (o *modelWriter) end(a *request.Answer, begun bool, after int, err *code.Error) {
+// writeEnd writes the final event. An incomplete answer gets an error event and no
+// writeEnd marker.
+func (o *modelWriter) writeEnd(a *request.Answer, begun bool, after int, err *code.Error) {
 	if err != nil && !begun {
 		writeError(o.w, err)
 		return
@@ -177,17 +177,17 @@
 		usage := a.Usage()
 		u = &usage
 	}
-	o.chunk(after+1, ch, u)
+	o.appendChunk(after+1, ch, u)
 	o.buf = append(o.buf, "data: [DONE]\n\n"...)
 	o.flush()
 }
 
-// writeWait is the write timeout of one flush to a slow caller.
-const writeWait = 30 * time.Second
+// writeTimeout is the write timeout of one flush to a slow caller.
+const writeTimeout = 30 * time.Second
 
 func (o *modelWriter) flush() {
 	rc := http.NewResponseController(o.w)
-	rc.SetWriteDeadline(time.Now().Add(writeWait))
+	rc.SetWriteDeadline(time.Now().Add(writeTimeout))
 	o.w.Write(o.buf)
 	rc.Flush()
 	o.buf = o.buf[:0]
--- a/process/bench_test.go
+++ b/process/bench_test.go
@@ -226,18 +226,18 @@
 	slow := standin.EngineConfig{Batch: 4096, Step: 2 * time.Millisecond, Prefill: 1e9, CacheBlocks: 100, Transfer: 1}
 	w := newBench(b, service(version.Model, "digest"), standin.NewEngine(seam.TCP{}, "e", slow, standin.NewLedger()))
 	for b.Loop() {
-		direct := w.held(b, w.direct)
-		through := w.held(b, w.through)
+		direct := w.memoryPerStream(b, w.direct)
+		through := w.memoryPerStream(b, w.through)
 		b.ReportMetric(through, "KB/stream-in-all")
 		b.ReportMetric(through-direct, "KB/stream")
 	}
 }
 
-// held returns the live memory per open stream, in KB.
-func (w *bench) held(tb testing.TB, base string) float64 {
+// memoryPerStream returns the live memory per open stream, in KB.
+func (w *bench) memoryPerStream(tb testing.TB, base string) float64 {
 	const streams, tokens = 200, 3000
 	ctx, cancel := context.WithCancel(tb.Context())
-	before := live()
+	before := liveMemory()
 	var count atomic.Int64
 	var wg sync.WaitGroup
 	for range streams {
@@ -250,14 +250,14 @@
 	for count.Load() < streams*tokens/2 {
 		time.Sleep(10 * time.Millisecond)
 	}
-	kb := float64(live()-before) / streams / 1024
+	kb := float64(liveMemory()-before) / streams / 1024
 	cancel()
 	wg.Wait()
 	time.Sleep(200 * time.Millisecond)
 	return kb
 }
 
-func live() int64 {
+func liveMemory() int64 {
 	runtime.GC()
 	runtime.GC()
 	var m runtime.MemStats
--- a/process/callers.go
+++ b/process/callers.go
@@ -23,17 +23,17 @@
 
 // The headers between callers and the daemon.
 const (
-	headKey      = "Idempotency-Key"
-	headLast     = "Last-Event-Id"
-	headDeadline = "Streambend-Deadline" // how long the caller waits, such as 2.5s
-	headID       = "X-Request-Id"
-	headCode     = "Streambend-Code"
-	headRan      = "Streambend-Ran"
+	headerIdempotencyKey = "Idempotency-Key"
+	headerLastEventID    = "Last-Event-Id"
+	headerDeadline       = "Streambend-Deadline" // how long the caller waits, such as 2.5s
+	headerRequestID      = "X-Request-Id"
+	headerErrorCode      = "Streambend-Code"
+	headerRan            = "Streambend-Ran"
 )
 
 const (
-	maxKey = 256
-	maxID  = 128
+	maxKeyLen = 256
+	maxIDLen  = 128
 )
 
 // callers handles the HTTP API for callers.
@@ -73,8 +73,8 @@
 	return hex.EncodeToString(h[:])
 }
 
-// bearer returns the hash of a request's bearer token, or "" if there is none.
-func bearer(r *http.Request) string {
+// bearerHash returns the hash of a request's bearerHash token, or "" if there is none.
+func bearerHash(r *http.Request) string {
 	token, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 	if !ok {
 		return ""
@@ -82,8 +82,8 @@
 	return HashToken(token)
 }
 
-func (c *callers) caller(r *http.Request) (Caller, error) {
-	x, ok := c.tokens[bearer(r)]
+func (c *callers) authenticate(r *http.Request) (Caller, error) {
+	x, ok := c.tokens[bearerHash(r)]
 	if !ok {
 		return x, code.New(code.UnknownToken, "send Authorization: Bearer with a team's token")
 	}
@@ -103,7 +103,7 @@
 
 // serveModels lists the model names available to the caller.
 func (c *callers) serveModels(w http.ResponseWriter, r *http.Request) {
-	who, err := c.caller(r)
+	who, err := c.authenticate(r)
 	if err != nil {
 		writeError(w, err)
 		return
@@ -120,9 +120,9 @@
 	writeJSON(w, http.StatusOK, list)
 }
 
-// read authenticates a request and reads its body and headers.
-func (c *callers) read(w http.ResponseWriter, r *http.Request) (*request.Request, error) {
-	who, err := c.caller(r)
+// readRequest authenticates a request and reads its body and headers.
+func (c *callers) readRequest(w http.ResponseWriter, r *http.Request) (*request.Request, error) {
+	who, err := c.authenticate(r)
 	if err != nil {
 		return nil, err
 	}
@@ -138,7 +138,7 @@
 		return nil, code.New(code.BadBody, "%v", err)
 	}
 	req := &request.Request{
-		ID: r.Header.Get(headID), Key: r.Header.Get(headKey), Partner: who.Partner, Team: who.Team, Weight: who.Weight,
+		ID: r.Header.Get(headerRequestID), Key: r.Header.Get(headerIdempotencyKey), Partner: who.Partner, Team: who.Team, Weight: who.Weight,
 		Arrived: time.Now(), Path: r.URL.RequestURI(), Method: r.Method, Header: r.Header, Body: body,
 	}
 	if req.ID == "" {
@@ -147,37 +147,37 @@
 	return req, readHeaders(req, r)
 }
 
-// safe reports whether s can be copied unescaped into a header or a log line.
-func safe(s string, most int) bool {
+// isVisibleASCII reports whether s can be copied unescaped into a header or a log line.
+func isVisibleASCII(s string, most int) bool {
 	return len(s) <= most && !strings.ContainsFunc(s, func(c rune) bool { return c <= ' ' || c > '~' })
 }
 
 func readHeaders(req *request.Request, r *http.Request) error {
-	if !safe(req.ID, maxID) {
-		return code.New(code.BadHeader, "%s must be at most %d visible ASCII characters", headID, maxID)
+	if !isVisibleASCII(req.ID, maxIDLen) {
+		return code.New(code.BadHeader, "%s must be at most %d visible ASCII characters", headerRequestID, maxIDLen)
 	}
-	if !safe(req.Key, maxKey) {
-		return code.New(code.BadHeader, "%s must be at most %d visible ASCII characters", headKey, maxKey)
+	if !isVisibleASCII(req.Key, maxKeyLen) {
+		return code.New(code.BadHeader, "%s must be at most %d visible ASCII characters", headerIdempotencyKey, maxKeyLen)
 	}
-	if last := r.Header.Get(headLast); last != "" {
+	if last := r.Header.Get(headerLastEventID); last != "" {
 		n, err := strconv.Atoi(last)
 		if err != nil || n < 0 {
-			return code.New(code.BadHeader, "%s must be an event's number", headLast)
+			return code.New(code.BadHeader, "%s must be an event's number", headerLastEventID)
 		}
 		req.After = n
 	}
-	if wait := r.Header.Get(headDeadline); wait != "" {
+	if wait := r.Header.Get(headerDeadline); wait != "" {
 		d, err := time.ParseDuration(wait)
 		if err != nil || d <= 0 {
-			return code.New(code.BadHeader, "%s must be a time such as 2.5s", headDeadline)
+			return code.New(code.BadHeader, "%s must be a time such as 2.5s", headerDeadline)
 		}
 		req.Deadline = req.Arrived.Add(d)
 	}
 	return nil
 }
 
-// bind resolves the service and route of a request and sets its default deadline.
-func (c *callers) bind(req *request.Request, name string, kind version.Kind) error {
+// resolveService resolves the service and route of a request and sets its default deadline.
+func (c *callers) resolveService(req *request.Request, name string, kind version.Kind) error {
 	svc, route, ok := c.d.Config().Lookup(req.Partner, name)
 	if !ok || svc.Kind != kind {
 		return code.New(code.NoSuchService, "no %s service answers to %q", kind, name)
@@ -196,16 +196,16 @@
 
 // serveModel answers a completion or chat request.
 func (c *callers) serveModel(w http.ResponseWriter, r *http.Request) {
-	req, err := c.read(w, r)
+	req, err := c.readRequest(w, r)
 	if err != nil {
 		writeError(w, err)
 		return
 	}
-	w.Header().Set(headID, req.ID)
+	w.Header().Set(headerRequestID, req.ID)
 	var name string
 	if req.Model, name, err = request.ParseModel(r.URL.Path, req.Body); err == nil {
 		req.Path = r.URL.Path
-		err = c.bind(req, name, version.Model)
+		err = c.resolveService(req, name, version.Model)
 	}
 	if err != nil {
 		writeError(w, err)
@@ -218,23 +218,23 @@
 	}
 	o := newModelWriter(w, req, name)
 	if req.Model.Stream {
-		o.stream(r.Context(), a)
+		o.writeStream(r.Context(), a)
 		return
 	}
-	o.whole(r.Context(), a)
+	o.writeWhole(r.Context(), a)
 }
 
 // servePlain answers a call to a plain service; the first path segment is the
 // service's route name.
 func (c *callers) servePlain(w http.ResponseWriter, r *http.Request) {
-	req, err := c.read(w, r)
+	req, err := c.readRequest(w, r)
 	if err != nil {
 		writeError(w, err)
 		return
 	}
-	w.Header().Set(headID, req.ID)
+	w.Header().Set(headerRequestID, req.ID)
 	name, rest, _ := strings.Cut(strings.TrimPrefix(r.URL.EscapedPath(), "/"), "/")
-	if err := c.bind(req, name, version.Plain); err != nil {
+	if err := c.resolveService(req, name, version.Plain); err != nil {
 		writeError(w, err)
 		return
 	}
@@ -249,7 +249,7 @@
 		writeError(w, err)
 		return
 	}
-	if err := wait(r.Context(), a); err != nil {
+	if err := waitForEnd(r.Context(), a); err != nil {
 		writeError(w, err)
 		return
 	}
@@ -269,13 +269,13 @@
 			w.Header()[k] = vs
 		}
 	}
-	w.Header().Set(headRan, code.RanWhole.String())
+	w.Header().Set(headerRan, code.RanWhole.String())
 	w.WriteHeader(ans.Status)
 	w.Write(ans.Body)
 }
 
-// wait blocks until the answer has ended and returns its error.
-func wait(ctx context.Context, a *request.Answer) error {
+// waitForEnd blocks until the answer has ended and returns its error.
+func waitForEnd(ctx context.Context, a *request.Answer) error {
 	changed, stop := a.Follow()
 	defer stop()
 	for {
@@ -315,8 +315,8 @@
 
 func writeError(w http.ResponseWriter, err error) {
 	body, e := errorOf(err)
-	w.Header().Set(headCode, body.Error.Code)
-	w.Header().Set(headRan, body.Error.Ran)
+	w.Header().Set(headerErrorCode, body.Error.Code)
+	w.Header().Set(headerRan, body.Error.Ran)
 	if e.RetryAfter > 0 {
 		seconds := int64((e.RetryAfter + time.Second - 1) / time.Second)
 		w.Header().Set("Retry-After", strconv.FormatInt(seconds, 10))
--- a/process/config.go
+++ b/process/config.go
@@ -16,23 +16,23 @@
 	"streambend.example/version"
 )
 
-// recentKept is the number of recent log entries cached to send to neighbours.
-const recentKept = 256
+// maxRecentEntries is the number of recent log entries cached to send to neighbours.
+const maxRecentEntries = 256
 
-// current holds the active configuration. Its version never decreases.
-type current struct {
+// configStore holds the active configuration. Its version never decreases.
+type configStore struct {
 	log version.Log
 
 	mu     sync.Mutex
 	cfg    *version.Config
 	recent []version.Entry
 	synced time.Time // last successful read of the table
-	have   bool      // whether a configuration has come from the table or a peer
+	loaded bool      // whether a configuration has come from the table or a peer
 }
 
-func newCurrent(l version.Log) *current { return &current{log: l, cfg: version.Empty()} }
+func newConfigStore(l version.Log) *configStore { return &configStore{log: l, cfg: version.Empty()} }
 
-func (c *current) get() *version.Config {
+func (c *configStore) get() *version.Config {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.cfg
@@ -40,7 +40,7 @@
 
 // apply applies log entries and reports whether the version advanced, and
 // whether entries in between are missing.
-func (c *current) apply(es []version.Entry) (grew, gap bool) {
+func (c *configStore) apply(es []version.Entry) (grew, gap bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, e := range es {
@@ -49,20 +49,20 @@
 			gap = gap || e.Version > c.cfg.Version+1
 			continue
 		}
-		c.cfg, grew, c.have = next, true, true
+		c.cfg, grew, c.loaded = next, true, true
 		c.recent = append(c.recent, e)
-		if len(c.recent) > recentKept {
-			c.recent = c.recent[len(c.recent)-recentKept:]
+		if len(c.recent) > maxRecentEntries {
+			c.recent = c.recent[len(c.recent)-maxRecentEntries:]
 		}
 	}
 	return grew, gap
 }
 
 // replace installs a complete configuration if it is newer.
-func (c *current) replace(cfg *version.Config) bool {
+func (c *configStore) replace(cfg *version.Config) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.have = true
+	c.loaded = true
 	if cfg.Version <= c.cfg.Version {
 		return false
 	}
@@ -70,9 +70,9 @@
 	return true
 }
 
-// after returns the entries after a version, or the complete configuration if
+// entriesAfter returns the entries entriesAfter a version, or the complete configuration if
 // they are no longer cached.
-func (c *current) after(v int64) conn.Payload {
+func (c *configStore) entriesAfter(v int64) conn.Payload {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if len(c.recent) > 0 && c.recent[0].Version <= v+1 {
@@ -82,16 +82,16 @@
 }
 
 // tableSynced records a successful read of the table.
-func (c *current) tableSynced(now time.Time) {
+func (c *configStore) tableSynced(now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.synced, c.have = now, true
+	c.synced, c.loaded = now, true
 }
 
-func (c *current) state() (synced time.Time, have bool) {
+func (c *configStore) state() (synced time.Time, have bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.synced, c.have
+	return c.synced, c.loaded
 }
 
 // sharedPeriod scales a polling period with the number of daemons in this zone,
@@ -103,16 +103,16 @@
 			n++
 		}
 	}
-	return stretch(p, n)
+	return scalePeriod(p, n)
 }
 
 // fleetPeriod scales a period with the number of all daemons, for polls whose
 // results are broadcast.
 func (d *Daemon) fleetPeriod(p time.Duration) time.Duration {
-	return stretch(p, len(d.Hub.Mesh.Members()))
+	return scalePeriod(p, len(d.Hub.Mesh.Members()))
 }
 
-func stretch(p time.Duration, n int) time.Duration {
+func scalePeriod(p time.Duration, n int) time.Duration {
 	p = p * time.Duration(max(n, 2)) / 2
 	return p*9/10 + time.Duration(rand.Int64N(int64(p)/5+1))
 }
@@ -126,32 +126,32 @@
 	if before.Version == 0 {
 		var c *version.Config
 		if c, err = d.config.log.Load(ctx); err == nil && d.config.replace(c) {
-			d.inForce(c, "table")
+			d.onConfigChange(c, "table")
 		}
 	} else {
 		var fresh []version.Entry
 		if _, fresh, err = d.config.log.Advance(ctx, before); err == nil {
-			d.adopt(fresh, "table")
+			d.applyEntries(fresh, "table")
 		}
 	}
 	if err == nil {
 		d.config.tableSynced(now)
 	}
-	d.judgeReady(now)
+	d.updateReadiness(now)
 	return d.sharedPeriod(d.Settings.Timing.Poll.Duration)
 }
 
-// adopt applies log entries and reports whether the version advanced.
-func (d *Daemon) adopt(es []version.Entry, from string) bool {
+// applyEntries applies log entries and reports whether the version advanced.
+func (d *Daemon) applyEntries(es []version.Entry, from string) bool {
 	grew, _ := d.config.apply(es)
 	if grew {
-		d.inForce(d.config.get(), from)
+		d.onConfigChange(d.config.get(), from)
 	}
 	return grew
 }
 
-// inForce updates the mesh, the services and the fleet after a version change.
-func (d *Daemon) inForce(c *version.Config, from string) {
+// onConfigChange updates the mesh, the services and the fleet after a version change.
+func (d *Daemon) onConfigChange(c *version.Config, from string) {
 	d.Hub.Mesh.SetVersion(c.Version)
 	d.log.WithField("part", "config").Infof("config: version %d active, received from %s", c.Version, from)
 	for _, w := range d.Server.Works.All() {
@@ -162,14 +162,14 @@
 	d.fleet.resync()
 }
 
-// isolationBound is how long a daemon without neighbours may lack contact with
+// isolationTimeout is how long a daemon without neighbours may lack contact with
 // the table before it counts as isolated.
-const isolationBound = 10 * time.Second
+const isolationTimeout = 10 * time.Second
 
-// judgeReady updates the readiness reported to the load balancer.
-func (d *Daemon) judgeReady(now time.Time) {
+// updateReadiness updates the readiness reported to the load balancer.
+func (d *Daemon) updateReadiness(now time.Time) {
 	synced, have := d.config.state()
-	isolated := now.Sub(synced) > isolationBound && d.Hub.Mesh.Neighbours() == 0
+	isolated := now.Sub(synced) > isolationTimeout && d.Hub.Mesh.Neighbours() == 0
 	ok := have && !d.draining.Load() && (!isolated || d.Settings.Isolated == "serve")
 	if d.ready.Swap(ok) != ok {
 		d.log.WithField("part", "process").Infof("readiness changed: %t (configuration loaded: %t, isolated: %t)", ok, have, isolated)
@@ -223,29 +223,29 @@
 	}
 }
 
-// take processes a payload received over a link.
-func (d *Daemon) take(now time.Time, in conn.Delivery) {
+// handleDelivery processes a payload received over a link.
+func (d *Daemon) handleDelivery(now time.Time, in conn.Delivery) {
 	p := in.Payload
 	if in.Want > 0 {
-		d.Hub.Give(in.From, d.config.after(in.Want-1))
+		d.Hub.Give(in.From, d.config.entriesAfter(in.Want-1))
 	}
 	if p.Config != nil && d.config.replace(p.Config) {
-		d.inForce(d.config.get(), in.From)
+		d.onConfigChange(d.config.get(), in.From)
 	}
 	if len(p.Entries) > 0 {
-		d.adopt(p.Entries, in.From)
+		d.applyEntries(p.Entries, in.From)
 		// Heartbeats repair a gap: missing entries are requested from a
 		// neighbour that has a newer version.
 	}
 	if p.Config != nil || len(p.Entries) > 0 {
-		d.judgeReady(now)
+		d.updateReadiness(now)
 	}
 	d.Server.Holds.Take(now, in.From, p)
-	d.fleet.notice(now, p.Notices)
+	d.fleet.recordNotices(now, p.Notices)
 	for _, l := range p.Loads {
-		d.fleet.hear(now, l)
+		d.fleet.recordLoad(now, l)
 	}
 	if len(p.Demands) > 0 {
-		d.fleet.hearDemand(now, in.From, p.Demands)
+		d.fleet.recordDemand(now, in.From, p.Demands)
 	}
 }
--- a/process/crashes.go
+++ b/process/crashes.go
@@ -13,19 +13,19 @@
 )
 
 const (
-	// holdsAgain is the period at which held-back requests are sent to the neighbours again.
-	holdsAgain = time.Second
-	// endsRate (per second) and endsBurst limit the endpoint failures that a daemon broadcasts. When
+	// holdsResendPeriod is the period at which held-back requests are sent to the neighbours again.
+	holdsResendPeriod = time.Second
+	// failureBroadcastRate (per second) and failureBroadcastBurst limit the endpoint failures that a daemon broadcasts. When
 	// a zone of 200 endpoints loses power, each of 380 daemons has about 7 requests there; unlimited
 	// broadcasts over 16 links would cost each daemon 1.3 MB.
-	endsRate  = 2
-	endsBurst = 3
+	failureBroadcastRate  = 2
+	failureBroadcastBurst = 3
 )
 
 // holdShare returns the functions that share held-back requests with other daemons, over the
 // mesh and through the table.
 func (d *Daemon) holdShare() request.HoldShare {
-	ends := rate.NewLimiter(endsRate, endsBurst)
+	ends := rate.NewLimiter(failureBroadcastRate, failureBroadcastBurst)
 	return request.HoldShare{
 		Table: d.tables.claim,
 		Tell:  func(p conn.Payload) { d.Hub.Tell(p) },
--- a/process/daemon.go
+++ b/process/daemon.go
@@ -62,14 +62,14 @@
 	Server   *request.Server
 	Hub      *conn.Hub
 
-	log      *logrus.Logger
-	plat     Platform
-	tables   tables
-	config   *current
-	fleet    *fleet
-	lead     *lead
-	handed   *handed
-	registry metrics.Registry
+	log       *logrus.Logger
+	platform  Platform
+	tables    tables
+	config    *configStore
+	fleet     *fleet
+	placer    *placer
+	handovers *handoverStore
+	registry  metrics.Registry
 
 	callers   *http.Server
 	operators *http.Server
@@ -112,12 +112,12 @@
 	if err != nil {
 		return nil, err
 	}
-	d := &Daemon{Settings: s, plat: p, log: log, registry: metrics.NewRegistry()}
+	d := &Daemon{Settings: s, platform: p, log: log, registry: metrics.NewRegistry()}
 	d.ctx, d.cancel = context.WithCancel(context.Background())
 	d.addrs = Addresses{ls.callers.Addr().String(), ls.operators.Addr().String(), ls.peers.Addr().String()}
 	d.Self = conn.Member{Name: s.Name, Start: time.Now().UnixMilli(), Address: d.addrs.Peers, Zone: s.Zone}
 	d.tables = newTables(p.Table, s.Platform.TableRate)
-	d.handed = newHanded()
+	d.handovers = newHandoverStore()
 	client := conn.NewClient(p.Network, s.Limits.BodyBytes)
 	claims := request.NewClaims(d.instance(), d.tables.claim)
 	opts := s.options()
@@ -126,14 +126,14 @@
 		p.Adjust(&opts)
 	}
 	d.Server = request.NewServer(opts, client, claims, peerAsker{d}, log)
-	d.config = newCurrent(version.Log{Table: d.tables.config, Objects: p.Objects})
+	d.config = newConfigStore(version.Log{Table: d.tables.config, Objects: p.Objects})
 	mesh := conn.NewMesh(d.Self, conn.DefaultTiming())
-	d.Hub = conn.NewHub(mesh, d.Self, p.Network, s.Peers.Secret, log, d.take, d.answerAsk)
+	d.Hub = conn.NewHub(mesh, d.Self, p.Network, s.Peers.Secret, log, d.handleDelivery, d.handlePeerRequest)
 	d.fleet = newFleet(d)
-	d.lead = newLead(d)
-	d.gauges()
+	d.placer = newPlacer(d)
+	d.registerMetrics()
 	d.serve(ls)
-	d.background()
+	d.startPeriodicTasks()
 	return d, nil
 }
 
@@ -165,13 +165,13 @@
 }
 
 const (
-	headerWait = 10 * time.Second
-	idleWait   = 2 * time.Minute
+	headerTimeout = 10 * time.Second
+	idleTimeout   = 2 * time.Minute
 )
 
 func (d *Daemon) newServer(h http.Handler) *http.Server {
 	return &http.Server{
-		Handler: h, ReadHeaderTimeout: headerWait, IdleTimeout: idleWait, MaxHeaderBytes: d.Settings.Limits.HeaderBytes,
+		Handler: h, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: d.Settings.Limits.HeaderBytes,
 	}
 }
 
@@ -184,12 +184,12 @@
 	d.peers = d.newServer(mux)
 	limited := netutil.LimitListener(ls.callers, d.Settings.Limits.Connections)
 	tls := d.Settings.TLS
-	d.run(func() { d.serveOn(d.callers, limited, tls) })
-	d.run(func() { d.serveOn(d.operators, ls.operators, tls) })
-	d.run(func() { d.serveOn(d.peers, ls.peers, TLSSettings{}) })
+	d.run(func() { d.serveListener(d.callers, limited, tls) })
+	d.run(func() { d.serveListener(d.operators, ls.operators, tls) })
+	d.run(func() { d.serveListener(d.peers, ls.peers, TLSSettings{}) })
 }
 
-func (d *Daemon) serveOn(s *http.Server, l net.Listener, t TLSSettings) {
+func (d *Daemon) serveListener(s *http.Server, l net.Listener, t TLSSettings) {
 	var err error
 	if t.Certificate != "" {
 		err = s.ServeTLS(l, t.Certificate, t.Key)
@@ -210,9 +210,9 @@
 	}()
 }
 
-// every runs f immediately and again after each delay that f returns, until the
+// runPeriodically runs f immediately and again after each delay that f returns, until the
 // daemon stops.
-func (d *Daemon) every(f func(now time.Time) time.Duration) {
+func (d *Daemon) runPeriodically(f func(now time.Time) time.Duration) {
 	d.run(func() {
 		for {
 			wait := f(time.Now())
@@ -234,7 +234,7 @@
 	d.ready.Store(false)
 	d.callers.SetKeepAlivesEnabled(false)
 	sleep(ctx, d.Settings.Timing.Unready.Duration)
-	d.lead.release()
+	d.placer.release()
 	drain, cancel := context.WithTimeout(ctx, d.Settings.Timing.Drain.Duration)
 	defer cancel()
 	err := d.callers.Shutdown(drain)
@@ -273,26 +273,26 @@
 	d.Hub.Close()
 	d.wg.Wait()
 	d.Server.Client.Close()
-	d.plat.Close()
+	d.platform.Close()
 }
 
-// background starts the periodic tasks.
-func (d *Daemon) background() {
-	d.every(func(now time.Time) time.Duration {
+// startPeriodicTasks starts the periodic tasks.
+func (d *Daemon) startPeriodicTasks() {
+	d.runPeriodically(func(now time.Time) time.Duration {
 		d.Server.Works.Tick(now, len(d.Hub.Mesh.Members()))
 		return 100 * time.Millisecond
 	})
-	d.every(d.syncConfig)
-	d.every(d.syncMembers)
-	d.every(d.fleet.list)
-	d.every(d.fleet.notices)
-	d.every(d.fleet.watch)
-	d.every(d.fleet.demand)
-	d.every(d.lead.step)
-	d.every(d.lead.placeAll)
+	d.runPeriodically(d.syncConfig)
+	d.runPeriodically(d.syncMembers)
+	d.runPeriodically(d.fleet.pollBoxes)
+	d.runPeriodically(d.fleet.pollNotices)
+	d.runPeriodically(d.fleet.probeEndpoints)
+	d.runPeriodically(d.fleet.broadcastDemand)
+	d.runPeriodically(d.placer.step)
+	d.runPeriodically(d.placer.placeAll)
 	d.run(func() { d.loadHolds(d.ctx) })
-	d.every(func(now time.Time) time.Duration {
+	d.runPeriodically(func(now time.Time) time.Duration {
 		d.Server.Holds.Again(now)
-		return holdsAgain
+		return holdsResendPeriod
 	})
 }
--- a/process/doc.go
+++ b/process/doc.go
@@ -12,6 +12,6 @@
 //
 // callers.go and answer.go serve callers; operators.go and status.go serve
 // operators; jobs.go and place.go hold the work done under leases; config.go keeps
-// the active configuration; fleet.go tracks the boxes and their load; asks.go
+// the active configuration; fleet.go tracks the boxes and their load; peers.go
 // implements the requests between daemons; settings.go and defaults.go hold the settings.
 package process
--- a/process/fleet.go
+++ b/process/fleet.go
@@ -21,45 +21,45 @@
 	d   *Daemon
 	log *logrus.Entry
 
-	mu      sync.Mutex
-	seq     int64
-	boxes   []seam.Box
-	noticed map[string]time.Time // box to reclaim deadline
-	classes map[string]toldClass
-	events  map[string]int64 // box to its last cache event's sequence number
-	probing map[string]bool
-	demands map[string]heard // daemon to its last reported demand
-	told    map[conn.Demand]bool
-	toldAt  time.Time
+	mu             sync.Mutex
+	seq            int64
+	boxes          []seam.Box
+	noticed        map[string]time.Time // box to reclaim deadline
+	classes        map[string]sentClass
+	cacheEventSeqs map[string]int64 // box to its last cache event's sequence number
+	probing        map[string]bool
+	demands        map[string]peerDemand // daemon to its last reported demand
+	sentDemands    map[conn.Demand]bool
+	demandsSentAt  time.Time
 }
 
-// toldClass is the load class last broadcast for an endpoint.
-type toldClass struct {
-	class request.Class
-	at    time.Time
-	again int // rebroadcasts since the last change
+// sentClass is the load class last broadcast for an endpoint.
+type sentClass struct {
+	class   request.Class
+	at      time.Time
+	resends int // rebroadcasts since the last change
 }
 
 // An unchanged load class is broadcast again for daemons that missed it because they
 // have just joined or did not know the endpoint yet. The interval starts at
-// firstRetell, doubles each time and is capped at retell.
+// firstResend, doubles each time and is capped at maxResendPeriod.
 const (
-	firstRetell = 2 * time.Second
-	retell      = 4 * time.Minute
+	firstResend     = 2 * time.Second
+	maxResendPeriod = 4 * time.Minute
 )
 
 // due reports whether a class must be broadcast, and returns the record to store if so.
-func (c toldClass) due(now time.Time, class request.Class) (toldClass, bool) {
+func (c sentClass) due(now time.Time, class request.Class) (sentClass, bool) {
 	if c.class != class || c.at.IsZero() {
-		return toldClass{class: class, at: now}, true
+		return sentClass{class: class, at: now}, true
 	}
-	if now.Sub(c.at) < min(retell, firstRetell<<min(c.again, 7)) {
+	if now.Sub(c.at) < min(maxResendPeriod, firstResend<<min(c.resends, 7)) {
 		return c, false
 	}
-	return toldClass{class: class, at: now, again: c.again + 1}, true
+	return sentClass{class: class, at: now, resends: c.resends + 1}, true
 }
 
-type heard struct {
+type peerDemand struct {
 	at      time.Time
 	demands []conn.Demand
 }
@@ -67,33 +67,33 @@
 func newFleet(d *Daemon) *fleet {
 	return &fleet{
 		d: d, log: d.log.WithField("part", "fleet"),
-		noticed: make(map[string]time.Time), classes: make(map[string]toldClass), events: make(map[string]int64),
-		probing: make(map[string]bool), demands: make(map[string]heard), told: make(map[conn.Demand]bool),
+		noticed: make(map[string]time.Time), classes: make(map[string]sentClass), cacheEventSeqs: make(map[string]int64),
+		probing: make(map[string]bool), demands: make(map[string]peerDemand), sentDemands: make(map[conn.Demand]bool),
 	}
 }
 
-// list polls the platform's box list.
-func (f *fleet) list(now time.Time) time.Duration {
+// pollBoxes polls the platform's box pollBoxes.
+func (f *fleet) pollBoxes(now time.Time) time.Duration {
 	period := f.d.sharedPeriod(f.d.Settings.Timing.List.Duration)
 	ctx, cancel := context.WithTimeout(f.d.ctx, tableTimeout)
 	defer cancel()
 	f.mu.Lock()
 	since := f.seq
 	f.mu.Unlock()
-	page, err := f.d.plat.Boxes.List(ctx, since)
+	page, err := f.d.platform.Boxes.List(ctx, since)
 	if err != nil || page.Boxes == nil {
 		return period
 	}
-	if f.take(page) {
+	if f.setBoxes(page) {
 		f.resync()
 	}
 	return period
 }
 
-// take stores a box list unless it is older than the current one, and reports
+// setBoxes stores a box list unless it is older than the current one, and reports
 // whether it did. The list is eventually consistent and may go back in time: a
 // box missing from an older list has not necessarily ended.
-func (f *fleet) take(page seam.BoxPage) bool {
+func (f *fleet) setBoxes(page seam.BoxPage) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if page.Seq < f.seq {
@@ -121,7 +121,7 @@
 			listed = append(listed, conn.Notice{Box: b.ID, Deadline: b.Deadline})
 		}
 	}
-	f.found(now, listed...)
+	f.reportNotices(now, listed...)
 	// A notice may arrive before its box is listed.
 	f.d.Server.Notice(now, noticed)
 }
@@ -133,18 +133,18 @@
 	return f.boxes
 }
 
-// noticeKept is how long a notice is retained after its deadline.
-const noticeKept = 5 * time.Minute
+// noticeRetention is how long a notice is retained after its deadline.
+const noticeRetention = 5 * time.Minute
 
-// found processes notices detected by this daemon and broadcasts the new ones.
-func (f *fleet) found(now time.Time, ns ...conn.Notice) {
-	if fresh := f.notice(now, ns); len(fresh) > 0 {
+// reportNotices processes notices detected by this daemon and broadcasts the new ones.
+func (f *fleet) reportNotices(now time.Time, ns ...conn.Notice) {
+	if fresh := f.recordNotices(now, ns); len(fresh) > 0 {
 		f.d.Hub.Tell(conn.Payload{Notices: fresh})
 	}
 }
 
-// notice records reclaim notices and returns those that are new.
-func (f *fleet) notice(now time.Time, ns []conn.Notice) (fresh []conn.Notice) {
+// recordNotices records reclaim notices and returns those that are new.
+func (f *fleet) recordNotices(now time.Time, ns []conn.Notice) (fresh []conn.Notice) {
 	var leaves []request.Leave
 	f.mu.Lock()
 	for _, n := range ns {
@@ -155,7 +155,7 @@
 		}
 	}
 	for b, t := range f.noticed {
-		if now.Sub(t) > noticeKept {
+		if now.Sub(t) > noticeRetention {
 			delete(f.noticed, b)
 		}
 	}
@@ -167,12 +167,12 @@
 	return fresh
 }
 
-// notices polls the platform's reclaim notices.
-func (f *fleet) notices(now time.Time) time.Duration {
+// pollNotices polls the platform's reclaim pollNotices.
+func (f *fleet) pollNotices(now time.Time) time.Duration {
 	period := f.d.fleetPeriod(f.d.Settings.Timing.List.Duration) / 2
 	ctx, cancel := context.WithTimeout(f.d.ctx, tableTimeout)
 	defer cancel()
-	ns, err := f.d.plat.Cloud.Notices(ctx)
+	ns, err := f.d.platform.Cloud.Notices(ctx)
 	if err != nil {
 		return period
 	}
@@ -180,12 +180,12 @@
 	for _, n := range ns {
 		found = append(found, conn.Notice{Box: n.Box, Deadline: n.Deadline})
 	}
-	f.found(time.Now(), found...)
+	f.reportNotices(time.Now(), found...)
 	return period
 }
 
-// watchers is the number of daemons that probe each endpoint.
-const watchers = 2
+// watchersPerEndpoint is the number of daemons that probe each endpoint.
+const watchersPerEndpoint = 2
 
 // watches reports whether this daemon probes an endpoint: it does if it is among
 // the first in rendezvous order of the endpoint's zone, or of all daemons if the
@@ -210,25 +210,25 @@
 			ahead++
 		}
 	}
-	return present && ahead < watchers
+	return present && ahead < watchersPerEndpoint
 }
 
-// watch probes this daemon's share of the endpoints and broadcasts the load
+// probeEndpoints probes this daemon's share of the endpoints and broadcasts the load
 // classes that are due.
-func (f *fleet) watch(time.Time) time.Duration {
+func (f *fleet) probeEndpoints(time.Time) time.Duration {
 	members := f.d.Hub.Mesh.Members()
 	var wg sync.WaitGroup
 	var mu sync.Mutex
 	var changed []conn.LoadClass
 	for _, w := range f.d.Server.Works.All() {
 		for _, t := range w.Pool.Targets() {
-			if !watches(f.d.Self, members, t) || !f.begin(t.ID) {
+			if !watches(f.d.Self, members, t) || !f.beginProbe(t.ID) {
 				continue
 			}
 			wg.Add(1)
 			go func() {
 				defer wg.Done()
-				defer f.finish(t.ID)
+				defer f.finishProbe(t.ID)
 				if c, ok := f.probe(w, t); ok {
 					mu.Lock()
 					defer mu.Unlock()
@@ -244,7 +244,7 @@
 	return f.d.Settings.Timing.Watch.Duration
 }
 
-func (f *fleet) begin(box string) bool {
+func (f *fleet) beginProbe(box string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	busy := f.probing[box]
@@ -252,7 +252,7 @@
 	return !busy
 }
 
-func (f *fleet) finish(box string) {
+func (f *fleet) finishProbe(box string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	delete(f.probing, box)
@@ -264,7 +264,7 @@
 	ctx, cancel := context.WithTimeout(f.d.ctx, f.d.Settings.Timing.Watch.Duration)
 	defer cancel()
 	f.mu.Lock()
-	since := f.events[t.ID]
+	since := f.cacheEventSeqs[t.ID]
 	f.mu.Unlock()
 	load, err := f.d.Server.Client.Load(ctx, t.Address, since)
 	now := time.Now()
@@ -276,7 +276,7 @@
 	}
 	f.cacheEvents(w, t, since, load.Events)
 	if load.Leaving {
-		f.found(now, conn.Notice{Box: t.ID, Deadline: now.Add(time.Minute)})
+		f.reportNotices(now, conn.Notice{Box: t.ID, Deadline: now.Add(time.Minute)})
 		return conn.LoadClass{}, false
 	}
 	t.Report(now, load.Running+load.Waiting, load.Batch)
@@ -302,12 +302,12 @@
 		since = e.Seq
 	}
 	f.mu.Lock()
-	f.events[t.ID] = since
+	f.cacheEventSeqs[t.ID] = since
 	f.mu.Unlock()
 }
 
-// hear records a load class broadcast by another daemon.
-func (f *fleet) hear(now time.Time, l conn.LoadClass) {
+// recordLoad records a load class broadcast by another daemon.
+func (f *fleet) recordLoad(now time.Time, l conn.LoadClass) {
 	if l.Class < 0 || l.Class > int(request.Leaving) {
 		return
 	}
@@ -317,33 +317,33 @@
 }
 
 const (
-	demandPeriod = time.Second
-	demandRepeat = 10 * time.Second
-	demandLife   = 25 * time.Second
+	demandPeriod       = time.Second
+	demandResendPeriod = 10 * time.Second
+	demandTTL          = 25 * time.Second
 )
 
-// demand broadcasts the number of running and queued requests per service when it
-// changes, and repeats it every demandRepeat.
-func (f *fleet) demand(now time.Time) time.Duration {
+// broadcastDemand broadcasts the number of running and queued requests per service when it
+// changes, and repeats it every demandResendPeriod.
+func (f *fleet) broadcastDemand(now time.Time) time.Duration {
 	var ds []conn.Demand
 	for _, w := range f.d.Server.Works.All() {
 		running, queued := w.Queue.State()
 		if n := running + queued; n > 0 {
-			ds = append(ds, conn.Demand{Service: w.Pool.Service, Count: roughly(n)})
+			ds = append(ds, conn.Demand{Service: w.Pool.Service, Count: roundCount(n)})
 		}
 	}
 	f.mu.Lock()
-	same := len(ds) == len(f.told) && !slices.ContainsFunc(ds, func(x conn.Demand) bool { return !f.told[x] })
-	due := !same || now.Sub(f.toldAt) >= demandRepeat && len(ds) > 0
+	same := len(ds) == len(f.sentDemands) && !slices.ContainsFunc(ds, func(x conn.Demand) bool { return !f.sentDemands[x] })
+	due := !same || now.Sub(f.demandsSentAt) >= demandResendPeriod && len(ds) > 0
 	if due {
-		f.told, f.toldAt = make(map[conn.Demand]bool), now
+		f.sentDemands, f.demandsSentAt = make(map[conn.Demand]bool), now
 		for _, x := range ds {
-			f.told[x] = true
+			f.sentDemands[x] = true
 		}
 	}
 	f.mu.Unlock()
 	if due {
-		f.hearDemand(now, f.d.Self.Name, ds)
+		f.recordDemand(now, f.d.Self.Name, ds)
 		// The empty element keeps the codec from omitting the list when there
 		// is no demand.
 		f.d.Hub.Tell(conn.Payload{Demands: append(ds, conn.Demand{})})
@@ -351,9 +351,9 @@
 	return demandPeriod
 }
 
-// roughly rounds a count up to one of two steps per doubling, so that small
+// roundCount rounds a count up to one of two steps per doubling, so that small
 // changes are not broadcast.
-func roughly(n int) int {
+func roundCount(n int) int {
 	step := 1
 	for step*4 < n {
 		step *= 2
@@ -361,10 +361,10 @@
 	return (n + step - 1) / step * step
 }
 
-func (f *fleet) hearDemand(now time.Time, from string, ds []conn.Demand) {
+func (f *fleet) recordDemand(now time.Time, from string, ds []conn.Demand) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.demands[from] = heard{at: now, demands: ds}
+	f.demands[from] = peerDemand{at: now, demands: ds}
 }
 
 // demandOf returns the number of requests for a service across all daemons.
@@ -373,7 +373,7 @@
 	defer f.mu.Unlock()
 	n := 0
 	for from, h := range f.demands {
-		if now.Sub(h.at) > demandLife {
+		if now.Sub(h.at) > demandTTL {
 			delete(f.demands, from)
 			continue
 		}
--- a/process/jobs.go
+++ b/process/jobs.go
@@ -15,12 +15,12 @@
 	"streambend.example/version"
 )
 
-// lead runs the jobs that only one daemon at a time may run: it holds the
+// placer runs the jobs that only one daemon at a time may run: it holds the
 // services' capacity leases and starts and stops boxes under them.
-type lead struct {
-	d     *Daemon
-	log   *logrus.Entry
-	loads *rate.Limiter // limits orders to load weights
+type placer struct {
+	d           *Daemon
+	log         *logrus.Entry
+	loadLimiter *rate.Limiter // limits orders to load weights
 
 	prices   []seam.Price // used only by placeAll
 	pricedAt time.Time
@@ -32,20 +32,20 @@
 
 // shard is the capacity of one service.
 type shard struct {
-	lease    *version.Lease
-	since    time.Time // when this daemon took the lease
-	refused  map[version.BoxKind]time.Time
-	backoff  map[version.BoxKind]time.Duration
-	ordered  map[string]orderedBox
-	stopping map[string]time.Time
-	loaded   map[string]bool
-	dear     map[string]time.Time
-	lost     map[string]float64 // zone to recently lost boxes, decaying over time
-	seenGone map[string]bool
-	surplus  time.Time
-	blind    time.Time // start of the current table outage; zero if the table answers
-	need     forecast
-	last     version.PlaceDecision
+	lease          *version.Lease
+	leasedAt       time.Time // when this daemon took the lease
+	refused        map[version.BoxKind]time.Time
+	backoff        map[version.BoxKind]time.Duration
+	ordered        map[string]orderedBox
+	stopping       map[string]time.Time
+	loaded         map[string]bool
+	overpriced     map[string]time.Time
+	lost           map[string]float64 // zone to recently lost boxes, decaying over time
+	lossCounted    map[string]bool
+	surplus        time.Time
+	tableDownSince time.Time // start of the current table outage; zero if the table answers
+	need           forecast
+	last           version.PlaceDecision
 }
 
 // orderedBox is a started box that the box list may not show yet.
@@ -54,26 +54,26 @@
 	at  time.Time
 }
 
-func newLead(d *Daemon) *lead {
-	return &lead{
+func newPlacer(d *Daemon) *placer {
+	return &placer{
 		d: d, log: d.log.WithField("part", "place"),
-		loads: rate.NewLimiter(rate.Limit(d.Settings.Platform.LoadRate), 4), shards: make(map[string]*shard),
+		loadLimiter: rate.NewLimiter(rate.Limit(d.Settings.Platform.LoadRate), 4), shards: make(map[string]*shard),
 	}
 }
 
 const (
-	contenders   = 2 // daemons that compete for a lease
-	orderedLife  = 30 * time.Second
-	refuseFirst  = 2 * time.Second
-	refuseMost   = 2 * time.Minute
-	placePeriod  = 500 * time.Millisecond
-	orderLongest = 5 * time.Second // timeout of an order to the cloud or an endpoint
-	swapAfter    = 10 * time.Minute
-	pricesLife   = 15 * time.Second
+	contenders        = 2 // daemons that compete for a lease
+	orderedTTL        = 30 * time.Second
+	minRefusalBackoff = 2 * time.Second
+	maxRefusalBackoff = 2 * time.Minute
+	placePeriod       = 500 * time.Millisecond
+	orderTimeout      = 5 * time.Second // timeout of an order to the cloud or an endpoint
+	swapAfter         = 10 * time.Minute
+	pricesTTL         = 15 * time.Second
 )
 
 // contends reports whether this daemon competes for a shard's lease, by rendezvous order.
-func (l *lead) contends(name string) bool {
+func (l *placer) contends(name string) bool {
 	mine := xxhash.Sum64String(l.d.Self.Name + "|" + name)
 	ahead := 0
 	for _, m := range l.d.Hub.Mesh.Members() {
@@ -86,7 +86,7 @@
 
 // step renews the leases held and tries to acquire those that this daemon
 // competes for.
-func (l *lead) step(time.Time) time.Duration {
+func (l *placer) step(time.Time) time.Duration {
 	period := l.d.Settings.Timing.Lease.Duration / 3
 	if l.isFrozen() || l.d.draining.Load() {
 		return period
@@ -105,7 +105,7 @@
 	return period
 }
 
-func (l *lead) stepShard(key string, s *shard, held bool) {
+func (l *placer) stepShard(key string, s *shard, held bool) {
 	ctx, cancel := context.WithTimeout(l.d.ctx, 2*tableTimeout)
 	defer cancel()
 	now := time.Now()
@@ -118,14 +118,14 @@
 	*s.lease = lease
 	switch {
 	case err == nil:
-		s.blind = time.Time{}
-	case s.blind.IsZero():
-		s.blind = now
+		s.tableDownSince = time.Time{}
+	case s.tableDownSince.IsZero():
+		s.tableDownSince = now
 		l.log.Warnf("lease: renewing or acquiring %s failed: %v", key, err)
 	}
 	epoch, ok := s.lease.Held(time.Now())
 	if ok && !held {
-		s.since = now
+		s.leasedAt = now
 		l.log.Infof("lease: acquired %s, epoch %d", key, epoch)
 	}
 	if !ok && held {
@@ -133,14 +133,14 @@
 	}
 }
 
-func (l *lead) isFrozen() bool {
+func (l *placer) isFrozen() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return !l.frozen.IsZero()
 }
 
 // clock returns the time used for lease expiry; the caller must hold mu.
-func (l *lead) clock() time.Time {
+func (l *placer) clock() time.Time {
 	if !l.frozen.IsZero() {
 		return l.frozen
 	}
@@ -150,15 +150,15 @@
 // FreezeLeases simulates a paused process in fault tests: the daemon neither
 // renews its leases nor notices that they expire, and keeps issuing orders under them.
 func (d *Daemon) FreezeLeases(now time.Time, on bool) {
-	d.lead.mu.Lock()
-	defer d.lead.mu.Unlock()
-	d.lead.frozen = time.Time{}
+	d.placer.mu.Lock()
+	defer d.placer.mu.Unlock()
+	d.placer.frozen = time.Time{}
 	if on {
-		d.lead.frozen = now
+		d.placer.frozen = now
 	}
 }
 
-func (l *lead) shard(key string) *shard {
+func (l *placer) shard(key string) *shard {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	s := l.shards[key]
@@ -168,7 +168,7 @@
 			lease:   &version.Lease{Shard: key, Self: l.d.instance(), Term: term, Margin: term / 6},
 			refused: make(map[version.BoxKind]time.Time), backoff: make(map[version.BoxKind]time.Duration),
 			ordered: make(map[string]orderedBox), stopping: make(map[string]time.Time), loaded: make(map[string]bool),
-			dear: make(map[string]time.Time), lost: make(map[string]float64), seenGone: make(map[string]bool),
+			overpriced: make(map[string]time.Time), lost: make(map[string]float64), lossCounted: make(map[string]bool),
 		}
 		l.shards[key] = s
 	}
@@ -176,7 +176,7 @@
 }
 
 // release releases all leases on a graceful shutdown.
-func (l *lead) release() {
+func (l *placer) release() {
 	l.mu.Lock()
 	leases := make([]version.Lease, 0, len(l.shards))
 	for _, s := range l.shards {
@@ -195,7 +195,7 @@
 
 // status returns a shard's lease holder as read from the table, or as last known
 // here if the table does not answer.
-func (l *lead) status(ctx context.Context, key string) leaseStatus {
+func (l *placer) status(ctx context.Context, key string) leaseStatus {
 	row, err := version.ReadLease(ctx, l.d.tables.report, key)
 	s := l.shard(key)
 	l.mu.Lock()
@@ -207,7 +207,7 @@
 	return leaseStatus{Service: key, Holder: row.Holder, Epoch: row.Epoch, Mine: mine}
 }
 
-func (l *lead) held(s *shard) (epoch int64, ok bool) {
+func (l *placer) heldEpoch(s *shard) (epoch int64, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return s.lease.Held(l.clock())
--- a/process/operators.go
+++ b/process/operators.go
@@ -23,8 +23,8 @@
 
 const planPart = "plan"
 
-// maxIntent is the maximum size of an intent's body in bytes.
-const maxIntent = 256 << 10
+// maxIntentBytes is the maximum size of an intent's body in bytes.
+const maxIntentBytes = 256 << 10
 
 // operators handles the HTTP API for operators.
 type operators struct {
@@ -42,24 +42,24 @@
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /livez", func(w http.ResponseWriter, _ *http.Request) { w.Write([]byte("ok\n")) })
 	mux.HandleFunc("GET /readyz", d.serveReady)
-	mux.HandleFunc("GET /metrics", o.as("reader", o.serveMetrics))
-	mux.HandleFunc("GET /v1/status", o.as("reader", o.serveStatus))
-	mux.HandleFunc("GET /v1/intents", o.as("reader", o.serveList))
-	mux.HandleFunc("GET /v1/intents/{name}", o.as("reader", o.serveShow))
-	mux.HandleFunc("POST /v1/intents", o.as("operator", o.serveSubmit))
-	mux.HandleFunc("POST /v1/intents/{name}/withdraw", o.as("operator", o.serveWithdraw))
-	mux.HandleFunc("GET /v1/plans/{id}", o.as("reader", o.servePlan))
-	mux.HandleFunc("POST /v1/plans/{id}/confirm", o.as("operator", o.serveConfirm))
+	mux.HandleFunc("GET /metrics", o.requireRole("reader", o.serveMetrics))
+	mux.HandleFunc("GET /v1/status", o.requireRole("reader", o.serveStatus))
+	mux.HandleFunc("GET /v1/intents", o.requireRole("reader", o.serveList))
+	mux.HandleFunc("GET /v1/intents/{name}", o.requireRole("reader", o.serveShow))
+	mux.HandleFunc("POST /v1/intents", o.requireRole("operator", o.serveSubmit))
+	mux.HandleFunc("POST /v1/intents/{name}/withdraw", o.requireRole("operator", o.serveWithdraw))
+	mux.HandleFunc("GET /v1/plans/{id}", o.requireRole("reader", o.servePlan))
+	mux.HandleFunc("POST /v1/plans/{id}/confirm", o.requireRole("operator", o.serveConfirm))
 	return mux
 }
 
 // operatorFunc handles one authenticated request of an operator.
 type operatorFunc func(ctx context.Context, who Operator, r *http.Request) (any, error)
 
-// as returns a handler that requires an operator token with at least the given role.
-func (o *operators) as(role string, f operatorFunc) http.HandlerFunc {
+// requireRole returns a handler that requires an operator token with at least the given role.
+func (o *operators) requireRole(role string, f operatorFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		who, ok := o.tokens[bearer(r)]
+		who, ok := o.tokens[bearerHash(r)]
 		if !ok {
 			writeError(w, code.New(code.UnknownToken, "send Authorization: Bearer with an operator's token"))
 			return
@@ -68,9 +68,9 @@
 			writeError(w, code.New(code.NotYours, "%s may only look", who.Name))
 			return
 		}
-		r.Body = http.MaxBytesReader(w, r.Body, maxIntent)
+		r.Body = http.MaxBytesReader(w, r.Body, maxIntentBytes)
 		v, err := f(r.Context(), who, r)
-		var moved *movedError
+		var moved *conflictError
 		switch {
 		case errors.As(err, &moved):
 			writeJSON(w, code.Conflict.Entry().Status, moved)
@@ -82,26 +82,26 @@
 	}
 }
 
-// movedError is a conflict response that carries a new plan on the current base version.
-type movedError struct {
+// conflictError is a conflict response that carries a new plan on the current base version.
+type conflictError struct {
 	errorBody
 	Plan *version.Plan `json:"plan,omitempty"`
 }
 
-func (m *movedError) Error() string { return m.errorBody.Error.Message }
+func (m *conflictError) Error() string { return m.errorBody.Error.Message }
 
-// fresh returns the newest available configuration: the table's, or the locally
+// latestConfig returns the newest available configuration: the table's, or the locally
 // active one while the table is down.
-func (o *operators) fresh(ctx context.Context) *version.Config {
+func (o *operators) latestConfig(ctx context.Context) *version.Config {
 	c, fresh, err := o.d.config.log.Advance(ctx, o.d.Config())
 	if err == nil {
-		o.d.adopt(fresh, "table")
+		o.d.applyEntries(fresh, "table")
 	}
 	return c
 }
 
 func (o *operators) market(ctx context.Context) version.Market {
-	prices, _ := o.d.plat.Cloud.Prices(ctx)
+	prices, _ := o.d.platform.Cloud.Prices(ctx)
 	return version.Market{Prices: prices, Pool: o.d.Settings.Pool}
 }
 
@@ -128,7 +128,7 @@
 // plan makes a plan and stores it in the table, so that any daemon can confirm it.
 func (o *operators) plan(ctx context.Context, who Operator, s version.Service, withdraw bool) (version.Plan, error) {
 	now := time.Now()
-	p, err := version.MakePlan(now, o.fresh(ctx), o.market(ctx), who.Name, s, withdraw)
+	p, err := version.MakePlan(now, o.latestConfig(ctx), o.market(ctx), who.Name, s, withdraw)
 	if err != nil {
 		return p, err
 	}
@@ -164,8 +164,8 @@
 	return o.load(ctx, who, r.PathValue("id"))
 }
 
-// confirmed reports that a plan is durable, and which daemons have it active.
-type confirmed struct {
+// confirmResult reports that a plan is durable, and which daemons have it active.
+type confirmResult struct {
 	Plan     string   `json:"plan"`
 	Accepted int64    `json:"accepted"` // configuration version that contains the plan
 	InForce  int      `json:"in_force"` // number of daemons with that version
@@ -182,7 +182,7 @@
 		return nil, err
 	}
 	c, fresh, err := o.d.config.log.Confirm(ctx, time.Now(), o.d.Config(), o.d.Settings.Pool, p)
-	if o.d.adopt(fresh, "confirm") {
+	if o.d.applyEntries(fresh, "confirm") {
 		o.d.Hub.Tell(conn.Payload{Entries: fresh})
 	}
 	if err != nil {
@@ -196,14 +196,14 @@
 			o.log.Infof("configuration snapshot failed: %v", err)
 		}
 	}()
-	return o.spreadState(ctx, p.ID, c.Applied[p.ID]), nil
+	return o.waitInForce(ctx, p.ID, c.Applied[p.ID]), nil
 }
 
-// spreadState polls the daemons until all have a version active or inForceWait has passed.
-func (o *operators) spreadState(ctx context.Context, plan string, v int64) confirmed {
+// waitInForce polls the daemons until all have a version active or inForceWait has passed.
+func (o *operators) waitInForce(ctx context.Context, plan string, v int64) confirmResult {
 	deadline := time.Now().Add(inForceWait)
 	for {
-		out := confirmed{Plan: plan, Accepted: v, Missing: []string{}}
+		out := confirmResult{Plan: plan, Accepted: v, Missing: []string{}}
 		for _, m := range o.d.versions(ctx) {
 			out.Daemons++
 			if m.Version >= v {
@@ -227,7 +227,7 @@
 		return err
 	}
 	body, _ := errorOf(err)
-	m := &movedError{errorBody: body}
+	m := &conflictError{errorBody: body}
 	if again, aerr := o.plan(ctx, who, p.Service, p.Withdraw); aerr == nil {
 		m.Plan = &again
 	}
@@ -257,8 +257,8 @@
 	return o.d.registry.GetAll(), nil
 }
 
-// gauges registers the metrics gauges.
-func (d *Daemon) gauges() {
+// registerMetrics registers the metrics registerMetrics.
+func (d *Daemon) registerMetrics() {
 	c := &d.Server.Count
 	for name, v := range map[string]func() int64{
 		"requests.accepted": c.Accepted.Load, "requests.complete": c.Complete.Load, "requests.late": c.Late.Load,
--- a/process/asks.go
+++ b/process/peers.go
@@ -39,45 +39,45 @@
 	Snapshot request.Snapshot `codec:"s"`
 }
 
-// handed stores answers handed over by daemons that are shutting down, until
+// handoverStore stores answers handoverStore over by daemons that are shutting down, until
 // their callers reconnect.
-type handed struct {
+type handoverStore struct {
 	mu  sync.Mutex
-	lru *simplelru.LRU[string, handedAnswer]
+	lru *simplelru.LRU[string, storedAnswer]
 }
 
-type handedAnswer struct {
+type storedAnswer struct {
 	at       time.Time
 	snapshot request.Snapshot
 }
 
 const (
-	handedKept = 512
-	handedLife = 2 * time.Minute
+	maxHandovers = 512
+	handoverTTL  = 2 * time.Minute
 )
 
-func newHanded() *handed {
-	lru, _ := simplelru.NewLRU[string, handedAnswer](handedKept, nil)
-	return &handed{lru: lru}
+func newHandoverStore() *handoverStore {
+	lru, _ := simplelru.NewLRU[string, storedAnswer](maxHandovers, nil)
+	return &handoverStore{lru: lru}
 }
 
-func (h *handed) put(now time.Time, name string, s request.Snapshot) {
+func (h *handoverStore) put(now time.Time, name string, s request.Snapshot) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.lru.Add(name, handedAnswer{now, s})
+	h.lru.Add(name, storedAnswer{now, s})
 }
 
 // take removes and returns the answer stored under a name.
-func (h *handed) take(now time.Time, name string) (request.Snapshot, bool) {
+func (h *handoverStore) take(now time.Time, name string) (request.Snapshot, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	a, ok := h.lru.Get(name)
 	h.lru.Remove(name)
-	return a.snapshot, ok && now.Sub(a.at) <= handedLife
+	return a.snapshot, ok && now.Sub(a.at) <= handoverTTL
 }
 
-// answerAsk handles a request from another daemon.
-func (d *Daemon) answerAsk(_ context.Context, from, kind string, body []byte) ([]byte, error) {
+// handlePeerRequest handles a request from another daemon.
+func (d *Daemon) handlePeerRequest(_ context.Context, from, kind string, body []byte) ([]byte, error) {
 	switch kind {
 	case askClaim:
 		var name string
@@ -93,7 +93,7 @@
 			return nil, err
 		}
 		for _, h := range hs {
-			d.handed.put(time.Now(), h.Name, h.Snapshot)
+			d.handovers.put(time.Now(), h.Name, h.Snapshot)
 		}
 		d.log.WithField("part", "process").Infof("handover: stored %d answers from %s", len(hs), from)
 		return nil, nil
@@ -102,7 +102,7 @@
 		if err := conn.Unmarshal(body, &name); err != nil {
 			return nil, err
 		}
-		s, ok := d.handed.take(time.Now(), name)
+		s, ok := d.handovers.take(time.Now(), name)
 		return conn.Marshal(takeOverAnswer{ok, s}), nil
 	}
 	return nil, errors.Errorf("process: unknown peer request kind %q", kind)
@@ -130,9 +130,9 @@
 	return request.HolderUnknown
 }
 
-// keepers returns up to two daemons that store a handed-over answer, in
+// handoverPeers returns up to two daemons that store a handed-over answer, in
 // rendezvous order: daemons with the same member list get the same result.
-func (d *Daemon) keepers(name string) []conn.Member {
+func (d *Daemon) handoverPeers(name string) []conn.Member {
 	var out []conn.Member
 	best := make(map[string]uint64)
 	for _, m := range d.Hub.Mesh.Members() {
@@ -149,8 +149,8 @@
 	return out[:min(len(out), 2)]
 }
 
-// askedMost is the maximum number of daemons asked about one claim.
-const askedMost = 16
+// maxAsked is the maximum number of daemons asked about one claim.
+const maxAsked = 16
 
 // AnyoneRan implements request.Peers. Daemons that have crashed are not covered.
 func (p peerAsker) AnyoneRan(ctx context.Context, name string) bool {
@@ -160,7 +160,7 @@
 	ran := make(chan bool, len(members))
 	asked := 0
 	for _, m := range members {
-		if m.Name == p.d.Self.Name || asked == askedMost {
+		if m.Name == p.d.Self.Name || asked == maxAsked {
 			continue
 		}
 		asked++
@@ -181,16 +181,16 @@
 
 // RecentStop implements request.Peers.
 func (p peerAsker) RecentStop(now time.Time) bool {
-	return p.d.Hub.Mesh.LeftSince(now.Add(-handedLife))
+	return p.d.Hub.Mesh.LeftSince(now.Add(-handoverTTL))
 }
 
 // TakeOver fetches a handed-over answer from the daemons responsible for storing it.
 func (p peerAsker) TakeOver(ctx context.Context, name string) (request.Snapshot, bool) {
 	ctx, cancel := context.WithTimeout(ctx, askTimeout)
 	defer cancel()
-	for _, m := range p.d.keepers(name) {
+	for _, m := range p.d.handoverPeers(name) {
 		if m.Name == p.d.Self.Name {
-			if s, ok := p.d.handed.take(time.Now(), name); ok {
+			if s, ok := p.d.handovers.take(time.Now(), name); ok {
 				return s, true
 			}
 			continue
@@ -209,7 +209,7 @@
 	hs := d.Server.HandOver()
 	byPeer := make(map[string][]request.Handover)
 	for _, h := range hs {
-		if ks := d.keepers(h.Name); len(ks) > 0 {
+		if ks := d.handoverPeers(h.Name); len(ks) > 0 {
 			byPeer[ks[0].Name] = append(byPeer[ks[0].Name], h)
 		}
 	}
--- a/process/place.go
+++ b/process/place.go
@@ -15,15 +15,15 @@
 )
 
 // placeAll runs placement for each service that this daemon may start boxes for.
-func (l *lead) placeAll(now time.Time) time.Duration {
+func (l *placer) placeAll(now time.Time) time.Duration {
 	cfg := l.d.Config()
 	for key, row := range cfg.Rows {
 		s := l.shard(key)
 		if !l.mayStart(s) {
 			continue
 		}
-		if now.Sub(l.pricedAt) >= pricesLife {
-			l.askPrices(now)
+		if now.Sub(l.pricedAt) >= pricesTTL {
+			l.refreshPrices(now)
 		}
 		if len(l.prices) == 0 {
 			break
@@ -33,11 +33,11 @@
 	return placePeriod
 }
 
-// askPrices refreshes the prices; if the cloud does not answer, the old ones remain.
-func (l *lead) askPrices(now time.Time) {
+// refreshPrices refreshes the prices; if the cloud does not answer, the old ones remain.
+func (l *placer) refreshPrices(now time.Time) {
 	ctx, cancel := context.WithTimeout(l.d.ctx, tableTimeout)
 	defer cancel()
-	if p, err := l.d.plat.Cloud.Prices(ctx); err == nil {
+	if p, err := l.d.platform.Cloud.Prices(ctx); err == nil {
 		l.prices, l.pricedAt = p, now
 	}
 }
@@ -46,19 +46,19 @@
 // holder or, after a table outage of one lease term, as a contender. Without the lease
 // no box is stopped and no endpoint gets an order; a start is safe, since all daemons
 // use the same idempotency token for the same slot.
-func (l *lead) mayStart(s *shard) bool {
-	if _, ok := l.held(s); ok {
+func (l *placer) mayStart(s *shard) bool {
+	if _, ok := l.heldEpoch(s); ok {
 		return true
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return !s.blind.IsZero() && time.Since(s.blind) > s.lease.Term
+	return !s.tableDownSince.IsZero() && time.Since(s.tableDownSince) > s.lease.Term
 }
 
 // place makes the placement decision for one service and executes it.
-func (l *lead) place(svc version.Service, s *shard, prices []seam.Price) {
+func (l *placer) place(svc version.Service, s *shard, prices []seam.Price) {
 	now := time.Now()
-	in := l.input(now, svc, s, prices)
+	in := l.placeInput(now, svc, s, prices)
 	dec := version.Place(now, in, version.Policy(l.d.Settings.Place))
 	l.mu.Lock()
 	s.last = dec
@@ -70,21 +70,21 @@
 	for _, o := range dec.Starts {
 		l.start(svc, s, o)
 	}
-	if _, held := l.held(s); !held {
+	if _, held := l.heldEpoch(s); !held {
 		return
 	}
 	for _, id := range dec.Stops {
-		l.retire(now, svc, s, id)
+		l.drainBox(now, svc, s, id)
 	}
 	l.loadWeights(svc, s, in.Boxes)
 }
 
-// input collects the inputs of the placement policy.
-func (l *lead) input(now time.Time, svc version.Service, s *shard, prices []seam.Price) version.PlaceInput {
+// placeInput collects the inputs of the placement policy.
+func (l *placer) placeInput(now time.Time, svc version.Service, s *shard, prices []seam.Price) version.PlaceInput {
 	boxes := l.boxesOf(now, svc, s)
 	in := version.PlaceInput{
 		Service: svc, Prices: prices, Boxes: boxes, Refused: s.refused, Loss: lossShare(s.lost, boxes),
-		Swap: swapAfter, Hold: l.d.Settings.Timing.Hold.Duration, Dear: s.dear,
+		Swap: swapAfter, Hold: l.d.Settings.Timing.Hold.Duration, Dear: s.overpriced,
 	}
 	demand := l.d.fleet.demandOf(now, svc.Key())
 	in.Need = s.need.boxes(now, float64(demand)/float64(svc.PerBox))
@@ -95,9 +95,9 @@
 		}
 		alive++
 		if !version.IsDear(in, b) {
-			delete(s.dear, b.ID)
-		} else if _, ok := s.dear[b.ID]; !ok {
-			s.dear[b.ID] = now
+			delete(s.overpriced, b.ID)
+		} else if _, ok := s.overpriced[b.ID]; !ok {
+			s.overpriced[b.ID] = now
 		}
 	}
 	total, _ := version.Target(svc, in.Need)
@@ -113,7 +113,7 @@
 
 // boxesOf returns the service's boxes: those listed, with boxes known to be leaving
 // marked as such, and those started here that the list does not show yet.
-func (l *lead) boxesOf(now time.Time, svc version.Service, s *shard) []seam.Box {
+func (l *placer) boxesOf(now time.Time, svc version.Service, s *shard) []seam.Box {
 	var out []seam.Box
 	listed := make(map[string]bool)
 	for _, b := range l.d.fleet.snapshot() {
@@ -121,17 +121,17 @@
 			continue
 		}
 		listed[b.ID] = true
-		if _, stopping := s.stopping[b.ID]; stopping || l.d.fleet.leaves(b.ID) {
+		if _, stopping := s.stopping[b.ID]; stopping || l.d.fleet.hasNotice(b.ID) {
 			b.State = max(b.State, seam.BoxLeaving)
 		}
-		if b.State >= seam.BoxLeaving && b.Reclaimable && !s.seenGone[b.ID] {
-			s.seenGone[b.ID] = true
+		if b.State >= seam.BoxLeaving && b.Reclaimable && !s.lossCounted[b.ID] {
+			s.lossCounted[b.ID] = true
 			s.lost[b.Zone]++
 		}
 		out = append(out, b)
 	}
 	for id, o := range s.ordered {
-		if listed[id] || now.Sub(o.at) > orderedLife {
+		if listed[id] || now.Sub(o.at) > orderedTTL {
 			delete(s.ordered, id)
 			continue
 		}
@@ -140,8 +140,8 @@
 	return out
 }
 
-// leaves reports whether there is a reclaim notice for a box.
-func (f *fleet) leaves(box string) bool {
+// hasNotice reports whether there is a reclaim notice for a box.
+func (f *fleet) hasNotice(box string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	_, ok := f.noticed[box]
@@ -150,14 +150,14 @@
 
 // lossShare returns each zone's losses as a share of its boxes, and decays the loss counts.
 func lossShare(lost map[string]float64, boxes []seam.Box) map[string]float64 {
-	const fade = 0.9995 // decay factor per placement period
+	const decay = 0.9995 // decay factor per placement period
 	have := make(map[string]float64)
 	for _, b := range boxes {
 		have[b.Zone]++
 	}
 	out := make(map[string]float64)
 	for z, n := range lost {
-		lost[z] = n * fade
+		lost[z] = n * decay
 		out[z] = n / math.Max(1, have[z])
 	}
 	return out
@@ -165,18 +165,18 @@
 
 // start starts one box. The idempotency token depends only on the slot, so two
 // daemons that both believe they hold the lease start a single box.
-func (l *lead) start(svc version.Service, s *shard, o seam.StartOrder) {
+func (l *placer) start(svc version.Service, s *shard, o seam.StartOrder) {
 	kind := version.BoxKind{Zone: o.Zone, Class: o.Class, Reclaimable: o.Reclaimable}
 	for range maxGenerations {
 		if !l.mayStart(s) {
 			l.log.Infof("place: %s: start abandoned, lease expired", svc.Key())
 			return
 		}
-		ctx, cancel := context.WithTimeout(l.d.ctx, orderLongest)
-		b, err := l.d.plat.Cloud.Start(ctx, o)
+		ctx, cancel := context.WithTimeout(l.d.ctx, orderTimeout)
+		b, err := l.d.platform.Cloud.Start(ctx, o)
 		cancel()
 		if errors.Is(err, seam.ErrRefused) {
-			s.backoff[kind] = min(max(2*s.backoff[kind], refuseFirst), refuseMost)
+			s.backoff[kind] = min(max(2*s.backoff[kind], minRefusalBackoff), maxRefusalBackoff)
 			l.mu.Lock()
 			s.refused[kind] = time.Now().Add(s.backoff[kind])
 			l.mu.Unlock()
@@ -198,20 +198,20 @@
 	}
 }
 
-// retire drains a box: it gets no new requests and is stopped after the drain
+// drainBox drains a box: it gets no new requests and is stopped after the drain
 // timeout.
-func (l *lead) retire(now time.Time, svc version.Service, s *shard, id string) {
+func (l *placer) drainBox(now time.Time, svc version.Service, s *shard, id string) {
 	wait := l.d.Settings.Timing.Drain.Duration
 	s.stopping[id] = now
-	l.d.fleet.found(now, conn.Notice{Box: id, Deadline: now.Add(wait)})
+	l.d.fleet.reportNotices(now, conn.Notice{Box: id, Deadline: now.Add(wait)})
 	time.AfterFunc(wait, func() {
-		epoch, held := l.held(s)
+		epoch, held := l.heldEpoch(s)
 		if !held {
 			return // the next lease holder sees the box leaving and stops it
 		}
-		ctx, cancel := context.WithTimeout(l.d.ctx, orderLongest)
+		ctx, cancel := context.WithTimeout(l.d.ctx, orderTimeout)
 		defer cancel()
-		if err := l.d.plat.Cloud.Stop(ctx, id, epoch); err != nil {
+		if err := l.d.platform.Cloud.Stop(ctx, id, epoch); err != nil {
 			l.log.Warnf("place: %s: stopping box %s failed: %v", svc.Key(), id, err)
 		}
 	})
@@ -220,7 +220,7 @@
 // loadWeights orders new boxes to load the service's model, at no more than the rate
 // that the weight store allows. An engine that does not check fencing tokens gets its order only
 // after every order of an earlier lease holder must have ended.
-func (l *lead) loadWeights(svc version.Service, s *shard, boxes []seam.Box) {
+func (l *placer) loadWeights(svc version.Service, s *shard, boxes []seam.Box) {
 	if svc.Kind != version.Model || svc.Model == "" {
 		return
 	}
@@ -229,12 +229,12 @@
 		if b.State != seam.BoxLive || b.Address == "" || s.loaded[b.ID] {
 			continue
 		}
-		epoch, held := l.held(s)
-		settled := epoch == 1 || time.Since(s.since) > term+orderLongest
-		if !held || !svc.ChecksFence && !settled || !l.loads.Allow() {
+		epoch, held := l.heldEpoch(s)
+		settled := epoch == 1 || time.Since(s.leasedAt) > term+orderTimeout
+		if !held || !svc.ChecksFence && !settled || !l.loadLimiter.Allow() {
 			return
 		}
-		ctx, cancel := context.WithTimeout(l.d.ctx, orderLongest)
+		ctx, cancel := context.WithTimeout(l.d.ctx, orderTimeout)
 		err := l.d.Server.Client.Order(ctx, b.Address, epoch, svc.Model, "serve")
 		cancel()
 		if err != nil {
--- a/process/settings.go
+++ b/process/settings.go
@@ -178,7 +178,7 @@
 			}
 			return out
 		}
-		for _, e := range leaves(err) {
+		for _, e := range joinedErrors(err) {
 			var de *mapstructure.DecodeError
 			if !errors.As(e, &de) || !remove(tree, de.Name()) {
 				return append(out, Problem{code.BadSettings, "$", e.Error()})
@@ -231,8 +231,8 @@
 	return remove(list[i], rest)
 }
 
-// leaves returns the errors that are joined in err.
-func leaves(err error) []error {
+// joinedErrors returns the errors that are joined in err.
+func joinedErrors(err error) []error {
 	if j, ok := err.(interface{ WrappedErrors() []error }); ok {
 		return flatten(j.WrappedErrors())
 	}
@@ -245,7 +245,7 @@
 func flatten(errs []error) []error {
 	var out []error
 	for _, e := range errs {
-		out = append(out, leaves(e)...)
+		out = append(out, joinedErrors(e)...)
 	}
 	return out
 }
--- a/process/status.go
+++ b/process/status.go
@@ -82,8 +82,8 @@
 	}
 	for key, row := range cfg.Rows {
 		if row.Service.Partner == who.Partner {
-			st.Leases = append(st.Leases, d.lead.status(ctx, key))
-			st.Refused = append(st.Refused, d.lead.refusedStarts(now, key)...)
+			st.Leases = append(st.Leases, d.placer.status(ctx, key))
+			st.Refused = append(st.Refused, d.placer.refusedStarts(now, key)...)
 		}
 	}
 	slices.SortFunc(st.Leases, func(a, b leaseStatus) int { return strings.Compare(a.Service, b.Service) })
@@ -111,7 +111,7 @@
 }
 
 // refusedStarts returns the kinds of box whose starts are backed off after a refusal by the cloud.
-func (l *lead) refusedStarts(now time.Time, key string) []refusedStatus {
+func (l *placer) refusedStarts(now time.Time, key string) []refusedStatus {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var out []refusedStatus
