--- a/explain/doc.go
+++ b/explain/doc.go
@@ -1,8 +1,9 @@
 // SPDX-License-Identifier: MIT
 
-// Package explain reads the lines that daemons have written and tells in plain words
-// what they decided: on one request, box after box, and on all by second and route.
+// Package explain parses the daemons' JSON logs and describes their decisions: for one
+// request across all boxes, or as counts by second and route.
 //
-// A Log holds the lines of all boxes in order of time. Story tells of one request, Sum
-// counts what became of all. Nothing here knows a daemon.
+// A Log holds the lines of all boxes in order of time. Story describes one request, Sum
+// counts the outcomes of all, and Rollout describes a service's roll-outs. The package
+// needs only the logs and no connection to a daemon.
 package explain
--- a/explain/explain_test.go
+++ b/explain/explain_test.go
@@ -15,8 +15,8 @@
 	"streambend.example/explain"
 )
 
-// Lines as daemons write them: a request that fails at two endpoints, one that is answered
-// and one that is refused.
+// Log lines in the daemons' format: a request that fails at two endpoints, one that is
+// answered and one that is refused.
 const (
 	boxA = `{"msg":"start: box-a","part":"process","time":"16:00:00.000"}
 {"msg":"routed","request":"r1","service":"engines","route":"digest","team":"office","attempt":0,"left_ms":900,"endpoint":"i-1","zone":"east","why":"read soonest","load":3,"load_age_ms":-1,"wait_ms":12,"read_ms":40,"fresh_tokens":700,"time":"16:00:01.100"}
@@ -40,7 +40,7 @@
 	return &l
 }
 
-func TestAStoryTellsWhereARequestWent(t *testing.T) {
+func TestStoryDescribesRequest(t *testing.T) {
 	l := logs(t)
 	assert.Equal(t, []string{
 		"request r1, service engines, route digest, team office",
@@ -55,15 +55,15 @@
 	assert.Empty(t, l.Story("r4"))
 }
 
-func TestWhatIsMissingIsCounted(t *testing.T) {
+func TestCountsLostAndUnreadLines(t *testing.T) {
 	l := logs(t)
 	assert.Equal(t, 12, l.Lost)
 	assert.Equal(t, 1, l.Unread)
 	assert.Error(t, l.Example)
-	assert.Error(t, new(explain.Log).Read("long", strings.NewReader(strings.Repeat("x", 2<<20))), "a line without an end")
+	assert.Error(t, new(explain.Log).Read("long", strings.NewReader(strings.Repeat("x", 2<<20))), "line over the length limit")
 }
 
-func TestTheSumTellsWhatBecameOfAll(t *testing.T) {
+func TestSumCountsOutcomes(t *testing.T) {
 	counts := logs(t).Sum()
 	require.Len(t, counts, 2)
 	assert.Equal(t, "digest", counts[0].Route)
@@ -76,8 +76,8 @@
 	assert.Contains(t, out.String(), "16:00:01  tag     1         0      30ms         10ms                 1109 team-share x1")
 }
 
-// Lines of a roll-out, as two daemons write them.
-func TestARollOutIsToldOnceForAllBoxes(t *testing.T) {
+// Checks that the log lines of a roll-out from two daemons merge into one description.
+func TestRolloutMergesBoxes(t *testing.T) {
 	var l explain.Log
 	require.NoError(t, l.Read("box-a", strings.NewReader(`{"msg":"order to move a service to a version","part":"rollout","service":"desk","target":"v2","order":30,"for_ms":12000,"time":"16:00:00.100"}
 {"msg":"order has moved on","part":"rollout","service":"desk","target":"v2","order":30,"stage":"watching","after_ms":40,"time":"16:00:00.140"}
--- a/explain/line.go
+++ b/explain/line.go
@@ -15,9 +15,9 @@
 	"github.com/pkg/errors"
 )
 
-// Line is one line of a daemon, with the fields that tell of requests.
+// Line is one log line of a daemon, with the fields that describe requests and roll-outs.
 type Line struct {
-	Box  string        // that wrote it
+	Box  string        // box that wrote the line
 	At   time.Duration // since midnight, by the box's clock
 	Text string
 
@@ -27,11 +27,11 @@
 
 	Endpoint, Zone, Why string
 	Load                int
-	LoadAge             time.Duration // of the load that was known; less than 0 for never told
-	Wait, Read          time.Duration // to the prompt's turn; to read it
-	Fresh               int           // tokens that the engine does not keep
+	LoadAge             time.Duration // age of Load; negative if no load was ever reported
+	Wait, Read          time.Duration // until the prompt's prefill starts; duration of its prefill
+	Fresh               int           // prompt tokens not in the engine's cache
 
-	Ending, Then    string // how an attempt ended, and what follows
+	Ending, Then    string // how an attempt ended; the next action
 	MayHaveRun      bool
 	First, Expected time.Duration // to the first event
 
@@ -41,15 +41,15 @@
 	RetryAfter time.Duration
 	CatalogAge time.Duration
 	Version    int64
-	Lost       int // lines left out before
+	Lost       int // lines dropped before this one
 
-	Part          string // of the daemon
-	Order         int64  // to move a service to a version
+	Part          string // part of the daemon that logged the line
+	Order         int64  // number of the order to move a service to a version
 	Target, Stage string
-	For, After    time.Duration // until its deadline, since it was heard of
+	For, After    time.Duration // until the order's deadline; since the daemon learned of it
 }
 
-// wireLine is a line as daemons write it.
+// wireLine is the JSON form of a log line.
 type wireLine struct {
 	Time       string `json:"time"`
 	Text       string `json:"msg"`
@@ -100,7 +100,7 @@
 		Part: w.Part, Order: w.Order, Target: w.Target, Stage: w.Stage, For: millis(w.For), After: millis(w.After),
 	}
 	if w.Time == "" {
-		return l, nil // of lines left out
+		return l, nil // the report of dropped lines has no time
 	}
 	at, err := time.Parse("15:04:05.000", w.Time)
 	if err != nil {
@@ -110,19 +110,19 @@
 	return l, nil
 }
 
-// lineMost bounds the length of a line.
+// lineMost is the maximum length of a line in bytes.
 const lineMost = 1 << 20
 
-// Log is the lines of some boxes, in order of time.
+// Log holds the log lines of any number of boxes; Sort puts them in order of time.
 type Log struct {
 	Lines   []Line
-	Unread  int   // lines that are none of a daemon's
-	Lost    int   // lines that daemons have left out
-	Example error // why one of the unread ones is none
+	Unread  int   // lines that could not be parsed
+	Lost    int   // lines that daemons report as dropped
+	Example error // parse error of the last unread line
 }
 
-// Read adds what a box has written. Words before a line's JSON are taken off, and the
-// last of them names the box, so that one file may hold the lines of many.
+// Read parses the lines of one box. Words before a line's JSON are stripped and the last
+// of them overrides the box name, so that one file may hold the lines of many boxes.
 func (l *Log) Read(box string, r io.Reader) error {
 	s := bufio.NewScanner(r)
 	s.Buffer(nil, lineMost)
@@ -156,7 +156,7 @@
 	l.Lines = append(l.Lines, line)
 }
 
-// Sort puts the lines in order of time; those of one box at one time stay in theirs.
+// Sort orders the lines by time and keeps the order of lines with equal times.
 func (l *Log) Sort() {
 	slices.SortStableFunc(l.Lines, func(a, b Line) int { return cmp.Compare(a.At, b.At) })
 }
--- a/explain/rollout.go
+++ b/explain/rollout.go
@@ -8,18 +8,18 @@
 	"time"
 )
 
-// rolloutPart is the part of a daemon that writes of roll-outs.
+// rolloutPart is the value of Line.Part in lines about roll-outs.
 const rolloutPart = "rollout"
 
-// turn is one step of an order, as the boxes that tell of it saw it.
+// turn is one step of an order, merged from the lines of all boxes that logged it.
 type turn struct {
 	first, last Line
 	boxes       map[string]bool
 }
 
-// Rollout returns how the orders to move a service to a version went, a sentence a line, or nothing
-// if no line tells of one. A step that many boxes have taken is told once, with how long it took
-// until the last of them had.
+// Rollout describes the orders to move a service to a version, one sentence per step, or returns
+// nothing if no line mentions one. A step logged by several boxes appears once, with the delay
+// until the last of them logged it.
 func (l *Log) Rollout(service string) []string {
 	turns := make(map[string]*turn)
 	var order []*turn
@@ -49,7 +49,7 @@
 	return out
 }
 
-// turned says in plain words what a line tells of a roll-out.
+// turned returns a sentence that describes a roll-out line.
 func (x Line) turned() string {
 	s := x.Text
 	switch kind, _, _ := strings.Cut(x.Text, ":"); kind {
--- a/explain/story.go
+++ b/explain/story.go
@@ -10,8 +10,8 @@
 	"streambend.example/code"
 )
 
-// Story returns what was decided on one request, a sentence a line, or nothing if no line
-// names it.
+// Story returns the decisions on one request, one sentence per log line, or nothing if no
+// line names the request.
 func (l *Log) Story(request string) []string {
 	var out []string
 	var began time.Duration
@@ -28,7 +28,7 @@
 	return out
 }
 
-// rest returns what follows the kind of a line in its text.
+// rest returns the details after the kind of a message, which ends at the first ": ".
 func rest(text string) string {
 	_, after, _ := strings.Cut(text, ": ")
 	return after
@@ -41,12 +41,12 @@
 	return s
 }
 
-// clock writes a time since midnight.
+// clock formats a time since midnight.
 func clock(at time.Duration) string {
 	return time.Time{}.Add(at).Format("15:04:05.000")
 }
 
-// sentence says in plain words what a line tells.
+// sentence returns a sentence that describes a line about a request.
 func (x Line) sentence() string {
 	switch kind, _, _ := strings.Cut(x.Text, ":"); kind {
 	case "routed":
@@ -76,7 +76,7 @@
 	return x.Text
 }
 
-// routed says where a request was sent, and why.
+// routed describes where an attempt was sent, and why.
 func (x Line) routed() string {
 	s := fmt.Sprintf("attempt %d is sent to %s in %s (%s), with load %d there", x.Attempt+1, x.Endpoint, x.Zone, x.Why, x.Load)
 	if x.LoadAge >= 0 {
--- a/explain/sum.go
+++ b/explain/sum.go
@@ -15,24 +15,24 @@
 	"streambend.example/code"
 )
 
-// Key is what requests are counted by.
+// Key identifies one row of counts: a second and a route.
 type Key struct {
-	Second int // since midnight
+	Second int // seconds since midnight
 	Route  string
 }
 
-// Count is what became of the requests of a route that ended in a second, by the lines
-// that are there: a daemon writes 200 a second at the most.
+// Count holds the outcomes of a route's requests that ended in one second. Only logged
+// requests count: a daemon writes at most 200 lines per second.
 type Count struct {
 	Key
-	Answered int               // whole
-	Again    int               // attempts after the first
-	Failed   map[code.Code]int // told an error
+	Answered int               // with a complete answer
+	Again    int               // retries
+	Failed   map[code.Code]int // error answers by code
 	First    []time.Duration
-	Off      []time.Duration // by how much later a first event came than expected
+	Off      []time.Duration // delay of the first event beyond the expected time
 }
 
-// Sum counts requests by second and route, in that order.
+// Sum counts requests by second and route and sorts the counts by both.
 func (l *Log) Sum() []Count {
 	counts := make(map[Key]*Count)
 	for _, x := range l.Lines {
@@ -74,7 +74,7 @@
 	}
 }
 
-// median returns the middle of some times, 0 of none.
+// median returns the median, or 0 for an empty list.
 func median(in []time.Duration) time.Duration {
 	if len(in) == 0 {
 		return 0
@@ -101,7 +101,7 @@
 	return median(in).String()
 }
 
-// errors lists what callers were told, the most frequent first.
+// errors lists the error codes sent to callers, the most frequent first.
 func (c Count) errors() string {
 	codes := slices.SortedFunc(maps.Keys(c.Failed), func(a, b code.Code) int {
 		return cmp.Or(cmp.Compare(c.Failed[b], c.Failed[a]), cmp.Compare(a, b))
