--- a/cloud/doc.go
+++ b/cloud/doc.go
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: MIT
 
-// Package cloud adapts the seams to the protocols of public clouds: the table to
-// DynamoDB, the object store to S3, and the cloud API and the list of boxes to
-// plain JSON over HTTP.
+// Package cloud implements the platform interfaces of package seam with the protocols
+// of public clouds: the table with DynamoDB, the object store with S3, and the cloud
+// API and the box list with plain JSON over HTTP.
 //
 //	table := cloud.NewDynamo(cloud.Access{Region: "local"}, "streambend")
 //	item, err := table.Get(ctx, seam.Key{Part: "member", Sort: "a"})
--- a/cloud/dynamo.go
+++ b/cloud/dynamo.go
@@ -19,30 +19,30 @@
 	"streambend.example/seam"
 )
 
-// The adapter's expressions. A stand-in may compare them literally.
+// The condition expressions that the adapter sends; a test server may compare them literally.
 const (
 	CondAbsent = "attribute_not_exists(pk)"
 	CondRev    = "rev = :rev"
 	CondQuery  = "pk = :pk AND sk > :after"
 )
 
-// Access says how the platform's services are reached.
+// Access holds the endpoint and the credentials of the platform's services.
 type Access struct {
-	Endpoint string // URL; empty for the region's own
+	Endpoint string // URL; empty for the region's default
 	Region   string
 	KeyID    string
 	Secret   string
-	HTTP     *http.Client // nil for the SDK's own
+	HTTP     *http.Client // nil for the SDK's default
 }
 
-// Dynamo is a Table by the DynamoDB protocol.
+// Dynamo implements seam.Table with the DynamoDB protocol.
 type Dynamo struct {
 	client *dynamodb.Client
 	table  string
 }
 
-// NewDynamo returns the Table kept in the named DynamoDB table. The SDK's own
-// retries are off: the callers here decide what is sent again.
+// NewDynamo returns the Table stored in the named DynamoDB table. The SDK's retries
+// are disabled, since this package's callers decide what is retried.
 func NewDynamo(a Access, table string) *Dynamo {
 	opts := dynamodb.Options{
 		Region:      a.Region,
@@ -103,7 +103,7 @@
 // Query implements Table with a consistent read.
 func (d *Dynamo) Query(ctx context.Context, part, after string, limit int) ([]seam.Item, error) {
 	if after == "" {
-		after = " " // the protocol allows no empty key value
+		after = " " // the protocol does not allow an empty key value
 	}
 	out, err := d.client.Query(ctx, &dynamodb.QueryInput{
 		TableName:              &d.table,
@@ -124,7 +124,7 @@
 	return items, nil
 }
 
-// Write implements Table with one transaction; the nonce is its client token.
+// Write implements Table with one transaction; the nonce is its idempotency token.
 func (d *Dynamo) Write(ctx context.Context, nonce string, writes ...seam.Write) error {
 	items := make([]types.TransactWriteItem, 0, len(writes))
 	for _, w := range writes {
@@ -163,13 +163,13 @@
 	}}
 }
 
-// S3 is an Objects by the S3 protocol.
+// S3 implements seam.Objects with the S3 protocol.
 type S3 struct {
 	client *s3.Client
 	bucket string
 }
 
-// NewS3 returns the Objects kept in the named bucket.
+// NewS3 returns the Objects stored in the named bucket.
 func NewS3(a Access, bucket string) *S3 {
 	opts := s3.Options{
 		Region:       a.Region,
@@ -189,7 +189,7 @@
 	return &S3{client: s3.New(opts), bucket: bucket}
 }
 
-// statusError is what the SDK's answers with an HTTP status implement.
+// statusError is implemented by SDK errors that carry an HTTP status.
 type statusError interface{ HTTPStatusCode() int }
 
 func hasStatus(err error, status int) bool {
--- a/cloud/http.go
+++ b/cloud/http.go
@@ -14,13 +14,13 @@
 	"streambend.example/seam"
 )
 
-// HTTP is a Cloud and a BoxList by plain JSON over HTTP.
+// HTTP implements seam.Cloud and seam.BoxList with plain JSON over HTTP.
 type HTTP struct {
 	Base   string // URL without a trailing slash
 	Client *http.Client
 }
 
-// stopOrder is the body of a stop.
+// stopOrder is the body of a stop request.
 type stopOrder struct {
 	Box   string
 	Epoch int64
@@ -33,11 +33,11 @@
 	}
 	req, err := http.NewRequestWithContext(ctx, method, c.Base+path, bytes.NewReader(body))
 	if err != nil {
-		return errors.Wrap(err, "cloud: cloud")
+		return errors.Wrap(err, "cloud: create request")
 	}
 	resp, err := c.Client.Do(req)
 	if err != nil {
-		return errors.Wrap(err, "cloud: cloud")
+		return errors.Wrap(err, "cloud: send request")
 	}
 	defer resp.Body.Close()
 	switch resp.StatusCode {
@@ -45,7 +45,7 @@
 	case http.StatusInsufficientStorage:
 		return seam.ErrRefused
 	default:
-		return errors.Errorf("cloud: cloud answered %d", resp.StatusCode)
+		return errors.Errorf("cloud: unexpected HTTP status %d", resp.StatusCode)
 	}
 	if out == nil {
 		return nil
