--- a/cmd/streambend/bench.go
+++ b/cmd/streambend/bench.go
@@ -13,7 +13,7 @@
 	"streambend.example/internal/trial"
 )
 
-// benchCommand compares our policies with the baselines.
+// benchCommand compares the default policies with the baselines.
 type benchCommand struct {
 	Seed  uint64 `long:"seed" default:"1" description:"seed of the load"`
 	Hours int    `long:"hours" default:"5" description:"recorded hours of placement to replay, 1 to 100"`
--- a/cmd/streambend/entry.go
+++ b/cmd/streambend/entry.go
@@ -45,18 +45,18 @@
 }
 
 const (
-	// memoryShare is the part of the box's memory from which on the collector
-	// works harder.
+	// memoryShare is the fraction of the box's memory set as the soft memory limit,
+	// near which the garbage collector runs more often.
 	memoryShare = 0.5
-	// collectAt is by how much of the live heap, in per cent, it may grow
-	// between two collections: memory is dearer than processor time here.
+	// collectAt is the GC percentage: how far the heap may grow over the live heap
+	// between two collections. It is low because memory is scarcer than CPU time here.
 	collectAt = 40
-	// settingsPeriod is how often the settings file is looked at, since it may
-	// change without a signal.
+	// settingsPeriod is the polling period of the settings file, which may change
+	// without a signal.
 	settingsPeriod = 2 * time.Second
 )
 
-// limitMemory tells the collector what the box has.
+// limitMemory configures the garbage collector for the box's memory.
 func limitMemory(s platform.Site) {
 	debug.SetGCPercent(collectAt)
 	if s.MemoryBytes > 0 {
@@ -95,8 +95,8 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	// Signals are taken until the process has stopped: one that comes meanwhile
-	// must not end it before its requests are done.
+	// Signals stay caught until the process has stopped, so that a further one
+	// does not kill it before its requests are done.
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
 	c.follow(ctx, hup, log, lines, d)
@@ -104,7 +104,7 @@
 	return nil
 }
 
-// follow takes changed settings in until ctx ends.
+// follow reloads the settings on SIGHUP or a file change until ctx ends.
 func (c *entryCommand) follow(ctx context.Context, hup <-chan os.Signal, log *logrus.Logger, lines *entry.Lines, d *entry.Daemon) {
 	tick := time.NewTicker(settingsPeriod)
 	defer tick.Stop()
@@ -126,7 +126,7 @@
 		changed = at
 		site, err := c.read()
 		if err != nil {
-			log.WithField("part", "process").Warnf("reload: settings left as they are: %v", err)
+			log.WithField("part", "process").Warnf("reload: settings unchanged: %v", err)
 			continue
 		}
 		limitMemory(site)
@@ -134,8 +134,8 @@
 	}
 }
 
-// changed returns when the settings file was last written, or the zero time if
-// that cannot be told.
+// changed returns the settings file's modification time, or the zero time if it
+// cannot be read.
 func (c *entryCommand) changed() time.Time {
 	info, err := os.Stat(c.Settings)
 	if err != nil {
--- a/cmd/streambend/explain.go
+++ b/cmd/streambend/explain.go
@@ -12,7 +12,7 @@
 	"streambend.example/explain"
 )
 
-// explainCommand tells from daemons' logs what became of requests.
+// explainCommand reports the outcomes of requests from daemons' logs.
 type explainCommand struct {
 	Request string `long:"request" value-name:"ID" description:"tells every decision on one request, across all boxes in order; without it a table by second and route"`
 	Rollout string `long:"rollout" value-name:"SERVICE" description:"tells how a service's orders to move to another version went, and why they ended so"`
@@ -48,7 +48,7 @@
 	return nil
 }
 
-// rollout tells how a service's orders went.
+// rollout prints the progress of a service's roll-out orders.
 func (c *explainCommand) rollout(log explain.Log) error {
 	story := log.Rollout(c.Rollout)
 	if len(story) == 0 {
@@ -58,7 +58,7 @@
 	return nil
 }
 
-// warn says what the logs lack.
+// warn reports unparsed and dropped log lines on standard error.
 func (c *explainCommand) warn(log explain.Log) {
 	if log.Unread > 0 {
 		fmt.Fprintf(os.Stderr, "%d lines are no daemon's, the last: %v\n", log.Unread, log.Example)
@@ -68,7 +68,7 @@
 	}
 }
 
-// readLog reads a file, whose name names the box, or standard input.
+// readLog reads a file, whose base name is the box's name, or standard input.
 func readLog(log *explain.Log, name string) error {
 	if name == "-" {
 		return log.Read("stdin", os.Stdin)
--- a/cmd/streambend/intent.go
+++ b/cmd/streambend/intent.go
@@ -19,7 +19,7 @@
 	"streambend.example/version"
 )
 
-// remote says which daemon a command talks to, and as whom.
+// remote holds the address of a daemon and the credentials for it.
 type remote struct {
 	URL   string `long:"url" required:"true" env:"STREAMBEND_URL" description:"operators' address of any daemon, such as http://127.0.0.1:8081"`
 	Token string `long:"token" required:"true" env:"STREAMBEND_TOKEN" description:"operator's token"`
@@ -28,7 +28,7 @@
 
 const callTimeout = 30 * time.Second
 
-// call sends one request and returns the body of the answer.
+// call sends one request and returns the response body.
 func (r remote) call(method, path string, body []byte) ([]byte, error) {
 	req, err := http.NewRequest(method, r.URL+path, bytes.NewReader(body))
 	if err != nil {
@@ -50,7 +50,7 @@
 	return b, nil
 }
 
-// refused is an error answer of the intent API.
+// refused is an error response of the intent API.
 type refused struct {
 	Error struct {
 		Message string `json:"message"`
@@ -70,7 +70,7 @@
 	return errors.New(e.Error.Message)
 }
 
-// get calls and prints the answer as JSON, or by a function.
+// get sends a request and prints the response as JSON or with show.
 func get[T any](r remote, method, path string, body []byte, show func(T)) error {
 	b, err := r.call(method, path, body)
 	if err != nil {
@@ -88,7 +88,7 @@
 	return nil
 }
 
-// intentCommand holds the commands on intents.
+// intentCommand groups the subcommands for intents.
 type intentCommand struct {
 	Submit   submitCommand   `command:"submit" description:"Submit an intent and see its plan; nothing changes"`
 	Plan     planCommand     `command:"plan" description:"Show a plan again"`
@@ -121,7 +121,7 @@
 	return get(c.remote, http.MethodPost, "/v1/intents", body, printPlan)
 }
 
-// named is a command on one thing.
+// named is the common part of commands that act on one named object.
 type named struct {
 	remote
 	Args struct {
@@ -204,7 +204,7 @@
 	fmt.Printf("  takes up to %d boxes of the pool and leaves %d\n", p.Pool, p.PoolLeft)
 }
 
-// statusCommand shows the system through one daemon.
+// statusCommand shows the system as one daemon sees it.
 type statusCommand struct{ remote }
 
 // Execute implements flags.Commander.
--- a/cmd/streambend/main.go
+++ b/cmd/streambend/main.go
@@ -18,7 +18,7 @@
 	exitUsage  = 2
 )
 
-// usageError is an error of what the command was given.
+// usageError is an error in the command's arguments or input files.
 type usageError struct{ error }
 
 func main() { os.Exit(run()) }
--- a/cmd/streambend/serve.go
+++ b/cmd/streambend/serve.go
@@ -36,7 +36,7 @@
 	return s, nil
 }
 
-// serveCommand runs a daemon until it is told to stop.
+// serveCommand runs a daemon until it receives a signal to stop.
 type serveCommand struct{ settingsFile }
 
 // Execute implements flags.Commander.
@@ -63,14 +63,14 @@
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	<-ctx.Done()
-	// A second signal ends the wait for requests in flight.
+	// A second signal cancels the wait for requests in flight.
 	again, stopAgain := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stopAgain()
 	d.Stop(again)
 	return nil
 }
 
-// checkCommand checks settings.
+// checkCommand validates a settings file.
 type checkCommand struct{ settingsFile }
 
 // Execute implements flags.Commander.
--- a/cmd/streambend/soak.go
+++ b/cmd/streambend/soak.go
@@ -20,7 +20,7 @@
 	"streambend.example/internal/soak"
 )
 
-// soakCommand runs the daemons of the users' platform as processes among faults.
+// soakCommand runs entry daemons as processes under fault injection.
 type soakCommand struct {
 	Seed    uint64        `long:"seed" description:"first seed; drawn from the time if 0"`
 	Runs    int           `long:"runs" default:"1" description:"how many seeds, one after the other"`
@@ -70,7 +70,7 @@
 	return errors.Wrap(os.RemoveAll(c.Dir), "soak")
 }
 
-// run runs one seed and returns how many promises it broke.
+// run runs one seed and returns the number of violated guarantees.
 func (c *soakCommand) run(ctx context.Context, program string, seed uint64) (int, error) {
 	dir := filepath.Join(c.Dir, fmt.Sprint("seed-", seed))
 	if err := os.MkdirAll(dir, 0o700); err != nil {
--- a/cmd/streambend/try.go
+++ b/cmd/streambend/try.go
@@ -16,7 +16,7 @@
 	"streambend.example/internal/trial"
 )
 
-// tryCommand runs a trial.
+// tryCommand runs trials of the whole system.
 type tryCommand struct {
 	Seed     uint64 `long:"seed" default:"1" description:"seed of load and faults"`
 	Policy   string `long:"policy" default:"ours" description:"ours, or a baseline to compare with"`
