--- a/process/crashes.go
+++ b/process/crashes.go
@@ -15,9 +15,9 @@
 const (
 	// holdsResendPeriod is the period at which held-back requests are sent to the neighbours again.
 	holdsResendPeriod = time.Second
-	// failureBroadcastRate (per second) and failureBroadcastBurst limit the endpoint failures that a daemon broadcasts. When
-	// a zone of 200 endpoints loses power, each of 380 daemons has about 7 requests there; unlimited
-	// broadcasts over 16 links would cost each daemon 1.3 MB.
+	// failureBroadcastRate (per second) and failureBroadcastBurst limit the endpoint failures that a
+	// daemon broadcasts. When a zone of 200 endpoints loses power, each of 380 daemons has about 7
+	// requests there; unlimited broadcasts over 16 links would cost each daemon 1.3 MB.
 	failureBroadcastRate  = 2
 	failureBroadcastBurst = 3
 )
