--- a/cloud/dynamo.go
+++ b/cloud/dynamo.go
@@ -58,9 +58,9 @@
 	return &Dynamo{client: dynamodb.New(opts), table: table}
 }
 
-func attr(s string) types.AttributeValue { return &types.AttributeValueMemberS{Value: s} }
+func stringAttr(s string) types.AttributeValue { return &types.AttributeValueMemberS{Value: s} }
 
-func num(n int64) types.AttributeValue {
+func numberAttr(n int64) types.AttributeValue {
 	return &types.AttributeValueMemberN{Value: strconv.FormatInt(n, 10)}
 }
 
@@ -88,7 +88,7 @@
 func (d *Dynamo) Get(ctx context.Context, k seam.Key) (seam.Item, error) {
 	out, err := d.client.GetItem(ctx, &dynamodb.GetItemInput{
 		TableName:      &d.table,
-		Key:            map[string]types.AttributeValue{"pk": attr(k.Part), "sk": attr(k.Sort)},
+		Key:            map[string]types.AttributeValue{"pk": stringAttr(k.Part), "sk": stringAttr(k.Sort)},
 		ConsistentRead: aws.Bool(true),
 	})
 	if err != nil {
@@ -109,7 +109,7 @@
 		TableName:              &d.table,
 		KeyConditionExpression: aws.String(CondQuery),
 		ExpressionAttributeValues: map[string]types.AttributeValue{
-			":pk": attr(part), ":after": attr(after),
+			":pk": stringAttr(part), ":after": stringAttr(after),
 		},
 		ConsistentRead: aws.Bool(true),
 		Limit:          aws.Int32(int32(limit)),
@@ -128,7 +128,7 @@
 func (d *Dynamo) Write(ctx context.Context, nonce string, writes ...seam.Write) error {
 	items := make([]types.TransactWriteItem, 0, len(writes))
 	for _, w := range writes {
-		items = append(items, d.transact(nonce, w))
+		items = append(items, d.transactItem(nonce, w))
 	}
 	_, err := d.client.TransactWriteItems(ctx, &dynamodb.TransactWriteItemsInput{
 		TransactItems:      items,
@@ -141,21 +141,21 @@
 	return errors.Wrap(err, "cloud: write")
 }
 
-func (d *Dynamo) transact(nonce string, w seam.Write) types.TransactWriteItem {
+func (d *Dynamo) transactItem(nonce string, w seam.Write) types.TransactWriteItem {
 	cond, vals := aws.String(CondAbsent), map[string]types.AttributeValue(nil)
 	if w.Rev > 0 {
 		cond = aws.String(CondRev)
-		vals = map[string]types.AttributeValue{":rev": num(w.Rev)}
+		vals = map[string]types.AttributeValue{":rev": numberAttr(w.Rev)}
 	}
-	key := map[string]types.AttributeValue{"pk": attr(w.Key.Part), "sk": attr(w.Key.Sort)}
+	key := map[string]types.AttributeValue{"pk": stringAttr(w.Key.Part), "sk": stringAttr(w.Key.Sort)}
 	if w.Delete {
 		return types.TransactWriteItem{Delete: &types.Delete{
 			TableName: &d.table, Key: key,
 			ConditionExpression: cond, ExpressionAttributeValues: vals,
 		}}
 	}
-	key["rev"] = num(w.Rev + 1)
-	key["nonce"] = attr(nonce)
+	key["rev"] = numberAttr(w.Rev + 1)
+	key["nonce"] = stringAttr(nonce)
 	key["val"] = &types.AttributeValueMemberB{Value: w.Value}
 	return types.TransactWriteItem{Put: &types.Put{
 		TableName: &d.table, Item: key,
--- a/cmd/streambend/entry.go
+++ b/cmd/streambend/entry.go
@@ -28,7 +28,7 @@
 	Check    bool     `long:"check" description:"check the settings and say what was read, without running"`
 }
 
-func (c *entryCommand) read() (platform.Site, error) {
+func (c *entryCommand) readSite() (platform.Site, error) {
 	if c.Settings == "" {
 		return platform.Site{}, usageError{code.New(code.BadSettings, "no settings: name a file with --settings or %s", platform.SettingsVariable)}
 	}
@@ -45,22 +45,22 @@
 }
 
 const (
-	// memoryShare is the fraction of the box's memory set as the soft memory limit,
+	// memoryLimitShare is the fraction of the box's memory set as the soft memory limit,
 	// near which the garbage collector runs more often.
-	memoryShare = 0.5
-	// collectAt is the GC percentage: how far the heap may grow over the live heap
+	memoryLimitShare = 0.5
+	// gcPercent is the GC percentage: how far the heap may grow over the live heap
 	// between two collections. It is low because memory is scarcer than CPU time here.
-	collectAt = 40
-	// settingsPeriod is the polling period of the settings file, which may change
+	gcPercent = 40
+	// settingsPollPeriod is the polling period of the settings file, which may change
 	// without a signal.
-	settingsPeriod = 2 * time.Second
+	settingsPollPeriod = 2 * time.Second
 )
 
 // limitMemory configures the garbage collector for the box's memory.
 func limitMemory(s platform.Site) {
-	debug.SetGCPercent(collectAt)
+	debug.SetGCPercent(gcPercent)
 	if s.MemoryBytes > 0 {
-		debug.SetMemoryLimit(int64(memoryShare * float64(s.MemoryBytes)))
+		debug.SetMemoryLimit(int64(memoryLimitShare * float64(s.MemoryBytes)))
 	}
 }
 
@@ -74,7 +74,7 @@
 	if err != nil {
 		return usageError{err}
 	}
-	site, err := c.read()
+	site, err := c.readSite()
 	if err != nil {
 		return err
 	}
@@ -99,16 +99,16 @@
 	// does not kill it before its requests are done.
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
-	c.follow(ctx, hup, log, lines, d)
+	c.watchSettings(ctx, hup, log, lines, d)
 	d.Stop(context.Background())
 	return nil
 }
 
-// follow reloads the settings on SIGHUP or a file change until ctx ends.
-func (c *entryCommand) follow(ctx context.Context, hup <-chan os.Signal, log *logrus.Logger, lines *entry.Lines, d *entry.Daemon) {
-	tick := time.NewTicker(settingsPeriod)
+// watchSettings reloads the settings on SIGHUP or a file change until ctx ends.
+func (c *entryCommand) watchSettings(ctx context.Context, hup <-chan os.Signal, log *logrus.Logger, lines *entry.Lines, d *entry.Daemon) {
+	tick := time.NewTicker(settingsPollPeriod)
 	defer tick.Stop()
-	changed := c.changed()
+	changed := c.settingsModTime()
 	for {
 		forced := false
 		select {
@@ -119,12 +119,12 @@
 		case <-tick.C:
 			lines.Report()
 		}
-		at := c.changed()
+		at := c.settingsModTime()
 		if at.Equal(changed) && !forced {
 			continue
 		}
 		changed = at
-		site, err := c.read()
+		site, err := c.readSite()
 		if err != nil {
 			log.WithField("part", "process").Warnf("reload: settings unchanged: %v", err)
 			continue
@@ -134,9 +134,9 @@
 	}
 }
 
-// changed returns the settings file's modification time, or the zero time if it
+// settingsModTime returns the settings file's modification time, or the zero time if it
 // cannot be read.
-func (c *entryCommand) changed() time.Time {
+func (c *entryCommand) settingsModTime() time.Time {
 	info, err := os.Stat(c.Settings)
 	if err != nil {
 		return time.Time{}
--- a/cmd/streambend/intent.go
+++ b/cmd/streambend/intent.go
@@ -50,8 +50,8 @@
 	return b, nil
 }
 
-// refused is an error response of the intent API.
-type refused struct {
+// errorResponse is an error response of the intent API.
+type errorResponse struct {
 	Error struct {
 		Message string `json:"message"`
 	} `json:"error"`
@@ -59,7 +59,7 @@
 }
 
 func answerError(b []byte) error {
-	var e refused
+	var e errorResponse
 	if json.Unmarshal(b, &e) != nil || e.Error.Message == "" {
 		return code.New(code.NoAnswer, "not a daemon's answer: %.100s", b)
 	}
@@ -121,29 +121,29 @@
 	return get(c.remote, http.MethodPost, "/v1/intents", body, printPlan)
 }
 
-// named is the common part of commands that act on one named object.
-type named struct {
+// nameArgument is the common part of commands that act on one named object.
+type nameArgument struct {
 	remote
 	Args struct {
 		Name string `positional-arg-name:"NAME" required:"true"`
 	} `positional-args:"true"`
 }
 
-type planCommand struct{ named }
+type planCommand struct{ nameArgument }
 
 // Execute implements flags.Commander.
 func (c *planCommand) Execute([]string) error {
 	return get(c.remote, http.MethodGet, "/v1/plans/"+c.Args.Name, nil, printPlan)
 }
 
-type withdrawCommand struct{ named }
+type withdrawCommand struct{ nameArgument }
 
 // Execute implements flags.Commander.
 func (c *withdrawCommand) Execute([]string) error {
 	return get(c.remote, http.MethodPost, "/v1/intents/"+c.Args.Name+"/withdraw", nil, printPlan)
 }
 
-type confirmCommand struct{ named }
+type confirmCommand struct{ nameArgument }
 
 type confirmation struct {
 	Accepted int64    `json:"accepted"`
@@ -162,7 +162,7 @@
 	})
 }
 
-type showCommand struct{ named }
+type showCommand struct{ nameArgument }
 
 // Execute implements flags.Commander.
 func (c *showCommand) Execute([]string) error {
--- a/cmd/streambend/soak.go
+++ b/cmd/streambend/soak.go
@@ -33,14 +33,14 @@
 }
 
 const (
-	soakLeast = 2
-	soakMost  = 100
+	minSoakDaemons = 2
+	maxSoakDaemons = 100
 )
 
 // Execute implements flags.Commander.
 func (c *soakCommand) Execute([]string) error {
-	if c.Daemons < soakLeast || c.Daemons > soakMost || c.Runs < 1 || c.Callers < 1 || c.For <= 0 {
-		return usageError{code.New(code.BadCommand, "--daemons must be %d to %d, --runs, --callers and --for more than 0", soakLeast, soakMost)}
+	if c.Daemons < minSoakDaemons || c.Daemons > maxSoakDaemons || c.Runs < 1 || c.Callers < 1 || c.For <= 0 {
+		return usageError{code.New(code.BadCommand, "--daemons must be %d to %d, --runs, --callers and --for more than 0", minSoakDaemons, maxSoakDaemons)}
 	}
 	if c.Seed == 0 {
 		c.Seed = uint64(time.Now().Unix())
@@ -58,7 +58,7 @@
 	defer stop()
 	broken := 0
 	for i := range c.Runs {
-		n, err := c.run(ctx, program, c.Seed+uint64(i))
+		n, err := c.runSeed(ctx, program, c.Seed+uint64(i))
 		if err != nil {
 			return err
 		}
@@ -70,8 +70,8 @@
 	return errors.Wrap(os.RemoveAll(c.Dir), "soak")
 }
 
-// run runs one seed and returns the number of violated guarantees.
-func (c *soakCommand) run(ctx context.Context, program string, seed uint64) (int, error) {
+// runSeed runs one seed and returns the number of violated guarantees.
+func (c *soakCommand) runSeed(ctx context.Context, program string, seed uint64) (int, error) {
 	dir := filepath.Join(c.Dir, fmt.Sprint("seed-", seed))
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return 0, errors.Wrap(err, "soak")
--- a/cmd/streambend/try.go
+++ b/cmd/streambend/try.go
@@ -30,8 +30,8 @@
 func newTry() *tryCommand { return &tryCommand{} }
 
 const (
-	daemonsLeast = 3
-	daemonsMost  = 16
+	minTrialDaemons = 3
+	maxTrialDaemons = 16
 )
 
 func (c *tryCommand) check() error {
@@ -41,8 +41,8 @@
 	if c.Fault != "" && c.Fault != "all" && !slices.Contains(trial.Faults(), c.Fault) {
 		return usageError{code.New(code.BadCommand, "no fault %q; there are all, %s", c.Fault, strings.Join(trial.Faults(), ", "))}
 	}
-	if c.Daemons < daemonsLeast || c.Daemons > daemonsMost {
-		return usageError{code.New(code.BadCommand, "--daemons must be %d to %d", daemonsLeast, daemonsMost)}
+	if c.Daemons < minTrialDaemons || c.Daemons > maxTrialDaemons {
+		return usageError{code.New(code.BadCommand, "--daemons must be %d to %d", minTrialDaemons, maxTrialDaemons)}
 	}
 	return nil
 }
@@ -64,7 +64,7 @@
 	var reports []*trial.Report
 	broken := 0
 	for _, name := range names {
-		r, err := c.one(ctx, name)
+		r, err := c.runTrial(ctx, name)
 		if err != nil {
 			return err
 		}
@@ -82,7 +82,7 @@
 	return nil
 }
 
-func (c *tryCommand) one(ctx context.Context, fault string) (*trial.Report, error) {
+func (c *tryCommand) runTrial(ctx context.Context, fault string) (*trial.Report, error) {
 	o := trial.DefaultOptions()
 	o.Seed, o.Policy, o.Fault, o.Daemons, o.Hold, o.LogLevel = c.Seed, c.Policy, fault, c.Daemons, c.Hold, c.LogLevel
 	if !c.JSON {
--- a/explain/counts.go
+++ b/explain/counts.go
@@ -25,11 +25,11 @@
 // requests count: a daemon writes at most 200 lines per second.
 type Count struct {
 	Key
-	Answered int               // with a complete answer
-	Again    int               // retries
-	Failed   map[code.Code]int // error answers by code
-	First    []time.Duration
-	Off      []time.Duration // delay of the first event beyond the expected time
+	Answered    int               // with a complete answer
+	Retries     int               // retries
+	Failed      map[code.Code]int // error answers by code
+	FirstEvents []time.Duration
+	Delays      []time.Duration // delay of the first event beyond the expected time
 }
 
 // Sum counts requests by second and route and sorts the counts by both.
@@ -45,11 +45,11 @@
 			c = &Count{Key: k, Failed: make(map[code.Code]int)}
 			counts[k] = c
 		}
-		c.take(x)
+		c.add(x)
 	}
 	var out []Count
 	for _, c := range counts {
-		if c.Answered+c.Again+len(c.Failed) > 0 {
+		if c.Answered+c.Retries+len(c.Failed) > 0 {
 			out = append(out, *c)
 		}
 	}
@@ -59,16 +59,16 @@
 	return out
 }
 
-func (c *Count) take(x Line) {
+func (c *Count) add(x Line) {
 	switch {
 	case x.Text == "answered":
 		c.Answered++
-		if x.First > 0 {
-			c.First = append(c.First, x.First)
-			c.Off = append(c.Off, x.First-x.Expected)
+		if x.FirstEvent > 0 {
+			c.FirstEvents = append(c.FirstEvents, x.FirstEvent)
+			c.Delays = append(c.Delays, x.FirstEvent-x.FirstExpected)
 		}
 	case x.Text == "routed" && x.Attempt > 0:
-		c.Again++
+		c.Retries++
 	case strings.HasPrefix(x.Text, "answered with an error"):
 		c.Failed[code.Code(x.Code)]++
 	}
@@ -89,20 +89,20 @@
 	fmt.Fprintln(w, "second\troute\tanswered\tagain\tfirst event\tlater than expected\ttold an error")
 	for _, c := range counts {
 		fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%s\t%s\t%s\n", time.Time{}.Add(time.Duration(c.Second)*time.Second).Format("15:04:05"),
-			word(c.Route), c.Answered, c.Again, times(c.First), times(c.Off), c.errors())
+			orNotTold(c.Route), c.Answered, c.Retries, formatMedian(c.FirstEvents), formatMedian(c.Delays), c.formatErrors())
 	}
 	return w.Flush()
 }
 
-func times(in []time.Duration) string {
+func formatMedian(in []time.Duration) string {
 	if len(in) == 0 {
 		return "-"
 	}
 	return median(in).String()
 }
 
-// errors lists the error codes sent to callers, the most frequent first.
-func (c Count) errors() string {
+// formatErrors lists the error codes sent to callers, the most frequent first.
+func (c Count) formatErrors() string {
 	codes := slices.SortedFunc(maps.Keys(c.Failed), func(a, b code.Code) int {
 		return cmp.Or(cmp.Compare(c.Failed[b], c.Failed[a]), cmp.Compare(a, b))
 	})
--- a/explain/describe.go
+++ b/explain/describe.go
@@ -21,28 +21,28 @@
 		}
 		if len(out) == 0 {
 			began = x.At
-			out = append(out, fmt.Sprintf("request %s, service %s, route %s, team %s", request, word(x.Service), word(x.Route), word(x.Team)))
+			out = append(out, fmt.Sprintf("request %s, service %s, route %s, team %s", request, orNotTold(x.Service), orNotTold(x.Route), orNotTold(x.Team)))
 		}
-		out = append(out, fmt.Sprintf("%s  +%-8s %s: %s", clock(x.At), (x.At-began).Round(time.Millisecond), x.Box, x.sentence()))
+		out = append(out, fmt.Sprintf("%s  +%-8s %s: %s", formatTime(x.At), (x.At-began).Round(time.Millisecond), x.Box, x.sentence()))
 	}
 	return out
 }
 
-// rest returns the details after the kind of a message, which ends at the first ": ".
-func rest(text string) string {
+// messageDetail returns the details after the kind of a message, which ends at the first ": ".
+func messageDetail(text string) string {
 	_, after, _ := strings.Cut(text, ": ")
 	return after
 }
 
-func word(s string) string {
+func orNotTold(s string) string {
 	if s == "" {
 		return "not told"
 	}
 	return s
 }
 
-// clock formats a time since midnight.
-func clock(at time.Duration) string {
+// formatTime formats a time since midnight.
+func formatTime(at time.Duration) string {
 	return time.Time{}.Add(at).Format("15:04:05.000")
 }
 
@@ -50,40 +50,40 @@
 func (x Line) sentence() string {
 	switch kind, _, _ := strings.Cut(x.Text, ":"); kind {
 	case "routed":
-		return x.routed()
+		return x.routedSentence()
 	case "attempt ended":
-		s := fmt.Sprintf("attempt %d at %s has ended (%s): %s; then: %s", x.Attempt, x.Endpoint, x.Ending, rest(x.Text), x.Then)
+		s := fmt.Sprintf("attempt %d at %s has ended (%s): %s; then: %s", x.Attempt, x.Endpoint, x.Ending, messageDetail(x.Text), x.Then)
 		if x.MayHaveRun {
 			s += "; it may have run there"
 		}
 		return s
 	case "answered":
-		if x.First > 0 {
-			return fmt.Sprintf("answered whole; first event after %s, %s expected", x.First, x.Expected)
+		if x.FirstEvent > 0 {
+			return fmt.Sprintf("answered whole; first event after %s, %s expected", x.FirstEvent, x.FirstExpected)
 		}
 		return "answered whole"
 	case "answered with an error":
-		s := fmt.Sprintf("the caller is told %d (%s): %s", x.Status, code.Code(x.Code), rest(x.Text))
+		s := fmt.Sprintf("the caller is told %d (%s): %s", x.Status, code.Code(x.Code), messageDetail(x.Text))
 		if x.RetryAfter > 0 {
 			s += fmt.Sprintf("; it may come back after %s", x.RetryAfter)
 		}
 		return s + fmt.Sprintf("; by configuration %d, known to be the newest %s ago", x.Version, x.CatalogAge)
 	case "ended":
-		return fmt.Sprintf("not served: %s (%s; run: %s)", rest(x.Text), code.Code(x.Code), x.Ran)
+		return fmt.Sprintf("not served: %s (%s; run: %s)", messageDetail(x.Text), code.Code(x.Code), x.Ran)
 	case "ejected":
-		return fmt.Sprintf("endpoint %s is kept out for a while: %s", x.Endpoint, rest(x.Text))
+		return fmt.Sprintf("endpoint %s is kept out for a while: %s", x.Endpoint, messageDetail(x.Text))
 	}
 	return x.Text
 }
 
-// routed describes where an attempt was sent, and why.
-func (x Line) routed() string {
+// routedSentence describes where an attempt was sent, and why.
+func (x Line) routedSentence() string {
 	s := fmt.Sprintf("attempt %d is sent to %s in %s (%s), with load %d there", x.Attempt+1, x.Endpoint, x.Zone, x.Why, x.Load)
 	if x.LoadAge >= 0 {
 		s += fmt.Sprintf(" as of %s ago", x.LoadAge)
 	}
-	if x.Wait > 0 || x.Read > 0 {
-		s += fmt.Sprintf("; %s until its prompt's turn, %s to read the %d tokens not kept", x.Wait, x.Read, x.Fresh)
+	if x.QueueWait > 0 || x.PrefillTime > 0 {
+		s += fmt.Sprintf("; %s until its prompt's turn, %s to read the %d tokens not kept", x.QueueWait, x.PrefillTime, x.UncachedTokens)
 	}
-	return s + fmt.Sprintf("; %s left", x.Left)
+	return s + fmt.Sprintf("; %s left", x.TimeLeft)
 }
--- a/explain/explain_test.go
+++ b/explain/explain_test.go
@@ -40,7 +40,7 @@
 	return &l
 }
 
-func TestStoryDescribesRequest(t *testing.T) {
+func TestDescribeRequest(t *testing.T) {
 	l := logs(t)
 	assert.Equal(t, []string{
 		"request r1, service engines, route digest, team office",
@@ -63,21 +63,21 @@
 	assert.Error(t, new(explain.Log).Read("long", strings.NewReader(strings.Repeat("x", 2<<20))), "line over the length limit")
 }
 
-func TestSumCountsOutcomes(t *testing.T) {
+func TestCountOutcomes(t *testing.T) {
 	counts := logs(t).Sum()
 	require.Len(t, counts, 2)
 	assert.Equal(t, "digest", counts[0].Route)
-	assert.Equal(t, 1, counts[0].Again)
+	assert.Equal(t, 1, counts[0].Retries)
 	assert.Equal(t, map[code.Code]int{code.NotWhole: 1}, counts[0].Failed)
 	assert.Equal(t, 1, counts[1].Answered)
-	assert.Equal(t, []time.Duration{10 * time.Millisecond}, counts[1].Off)
+	assert.Equal(t, []time.Duration{10 * time.Millisecond}, counts[1].Delays)
 	var out bytes.Buffer
 	require.NoError(t, explain.Print(&out, counts))
 	assert.Contains(t, out.String(), "16:00:01  tag     1         0      30ms         10ms                 1109 team-share x1")
 }
 
 // Checks that the log lines of a roll-out from two daemons merge into one description.
-func TestRolloutMergesBoxes(t *testing.T) {
+func TestDescribeRolloutMergesBoxes(t *testing.T) {
 	var l explain.Log
 	require.NoError(t, l.Read("box-a", strings.NewReader(`{"msg":"order to move a service to a version","part":"rollout","service":"desk","target":"v2","order":30,"for_ms":12000,"time":"16:00:00.100"}
 {"msg":"order has moved on","part":"rollout","service":"desk","target":"v2","order":30,"stage":"watching","after_ms":40,"time":"16:00:00.140"}
--- a/explain/line.go
+++ b/explain/line.go
@@ -23,17 +23,17 @@
 
 	Request, Service, Route, Team string
 	Attempt                       int
-	Left, Age                     time.Duration // until the deadline, since the arrival
+	TimeLeft, Age                 time.Duration // until the deadline, since the arrival
 
-	Endpoint, Zone, Why string
-	Load                int
-	LoadAge             time.Duration // age of Load; negative if no load was ever reported
-	Wait, Read          time.Duration // until the prompt's prefill starts; duration of its prefill
-	Fresh               int           // prompt tokens not in the engine's cache
+	Endpoint, Zone, Why    string
+	Load                   int
+	LoadAge                time.Duration // age of Load; negative if no load was ever reported
+	QueueWait, PrefillTime time.Duration // until the prompt's prefill starts; duration of its prefill
+	UncachedTokens         int           // prompt tokens not in the engine's cache
 
-	Ending, Then    string // how an attempt ended; the next action
-	MayHaveRun      bool
-	First, Expected time.Duration // to the first event
+	Ending, Then              string // how an attempt ended; the next action
+	MayHaveRun                bool
+	FirstEvent, FirstExpected time.Duration // to the first event
 
 	Code       int
 	Ran        string
@@ -41,7 +41,7 @@
 	RetryAfter time.Duration
 	CatalogAge time.Duration
 	Version    int64
-	Lost       int // lines dropped before this one
+	Dropped    int // lines dropped before this one
 
 	Part          string // part of the daemon that logged the line
 	Order         int64  // number of the order to move a service to a version
@@ -93,10 +93,10 @@
 func (w wireLine) decode(box string) (Line, error) {
 	l := Line{
 		Box: box, Text: w.Text, Request: w.Request, Service: w.Service, Route: w.Route, Team: w.Team, Attempt: w.Attempt,
-		Left: millis(w.Left), Age: millis(w.Age), Endpoint: w.Endpoint, Zone: w.Zone, Why: w.Why, Load: w.Load,
-		LoadAge: millis(w.LoadAge), Wait: millis(w.Wait), Read: millis(w.Read), Fresh: w.Fresh, Ending: w.Ending, Then: w.Then,
-		MayHaveRun: w.MayHaveRun, First: millis(w.First), Expected: millis(w.Expected), Code: w.Code, Ran: w.Ran,
-		Status: w.Status, RetryAfter: millis(w.RetryAfter), CatalogAge: millis(w.CatalogAge), Version: w.Version, Lost: w.Lost,
+		TimeLeft: millis(w.Left), Age: millis(w.Age), Endpoint: w.Endpoint, Zone: w.Zone, Why: w.Why, Load: w.Load,
+		LoadAge: millis(w.LoadAge), QueueWait: millis(w.Wait), PrefillTime: millis(w.Read), UncachedTokens: w.Fresh, Ending: w.Ending, Then: w.Then,
+		MayHaveRun: w.MayHaveRun, FirstEvent: millis(w.First), FirstExpected: millis(w.Expected), Code: w.Code, Ran: w.Ran,
+		Status: w.Status, RetryAfter: millis(w.RetryAfter), CatalogAge: millis(w.CatalogAge), Version: w.Version, Dropped: w.Lost,
 		Part: w.Part, Order: w.Order, Target: w.Target, Stage: w.Stage, For: millis(w.For), After: millis(w.After),
 	}
 	if w.Time == "" {
@@ -110,8 +110,8 @@
 	return l, nil
 }
 
-// lineMost is the maximum length of a line in bytes.
-const lineMost = 1 << 20
+// maxLineBytes is the maximum length of a line in bytes.
+const maxLineBytes = 1 << 20
 
 // Log holds the log lines of any number of boxes; Sort puts them in order of time.
 type Log struct {
@@ -125,7 +125,7 @@
 // of them overrides the box name, so that one file may hold the lines of many boxes.
 func (l *Log) Read(box string, r io.Reader) error {
 	s := bufio.NewScanner(r)
-	s.Buffer(nil, lineMost)
+	s.Buffer(nil, maxLineBytes)
 	for s.Scan() {
 		l.add(box, s.Bytes())
 	}
@@ -152,7 +152,7 @@
 		l.Example = err
 		return
 	}
-	l.Lost += line.Lost
+	l.Lost += line.Dropped
 	l.Lines = append(l.Lines, line)
 }
 
--- a/explain/rollout.go
+++ b/explain/rollout.go
@@ -11,8 +11,8 @@
 // rolloutPart is the value of Line.Part in lines about roll-outs.
 const rolloutPart = "rollout"
 
-// turn is one step of an order, merged from the lines of all boxes that logged it.
-type turn struct {
+// rolloutStep is one step of an order, merged from the lines of all boxes that logged it.
+type rolloutStep struct {
 	first, last Line
 	boxes       map[string]bool
 }
@@ -21,8 +21,8 @@
 // nothing if no line mentions one. A step logged by several boxes appears once, with the delay
 // until the last of them logged it.
 func (l *Log) Rollout(service string) []string {
-	turns := make(map[string]*turn)
-	var order []*turn
+	turns := make(map[string]*rolloutStep)
+	var order []*rolloutStep
 	for _, x := range l.Lines {
 		if x.Part != rolloutPart || x.Service != service {
 			continue
@@ -31,7 +31,7 @@
 		key := fmt.Sprint(text, x.Order, x.Stage)
 		t := turns[key]
 		if t == nil {
-			t = &turn{first: x, boxes: make(map[string]bool)}
+			t = &rolloutStep{first: x, boxes: make(map[string]bool)}
 			turns[key] = t
 			order = append(order, t)
 		}
@@ -40,7 +40,7 @@
 	}
 	var out []string
 	for _, t := range order {
-		s := fmt.Sprintf("%s  %s: %s", clock(t.first.At), t.first.Box, t.first.turned())
+		s := fmt.Sprintf("%s  %s: %s", formatTime(t.first.At), t.first.Box, t.first.rolloutSentence())
 		if n := len(t.boxes); n > 1 {
 			s += fmt.Sprintf(" (%d boxes, the last %s later)", n, (t.last.At - t.first.At).Round(time.Millisecond))
 		}
@@ -49,8 +49,8 @@
 	return out
 }
 
-// turned returns a sentence that describes a roll-out line.
-func (x Line) turned() string {
+// rolloutSentence returns a sentence that describes a roll-out line.
+func (x Line) rolloutSentence() string {
 	s := x.Text
 	switch kind, _, _ := strings.Cut(x.Text, ":"); kind {
 	case "order to move a service to a version":
