--- a/process/answer.go
+++ b/process/answer.go
@@ -122,7 +122,7 @@
 	o.w.WriteHeader(http.StatusOK)
 }
 
-// appendEvent appends one appendEvent to the buffer.
+// appendEvent appends one event to the buffer.
 func (o *modelWriter) appendEvent(e request.Event) {
 	ch := modelChoice{}
 	if o.chat {
@@ -151,7 +151,7 @@
 }
 
 // writeEnd writes the final event. An incomplete answer gets an error event and no
-// writeEnd marker.
+// end marker.
 func (o *modelWriter) writeEnd(a *request.Answer, begun bool, after int, err *code.Error) {
 	if err != nil && !begun {
 		writeError(o.w, err)
--- a/process/callers.go
+++ b/process/callers.go
@@ -73,7 +73,7 @@
 	return hex.EncodeToString(h[:])
 }
 
-// bearerHash returns the hash of a request's bearerHash token, or "" if there is none.
+// bearerHash returns the hash of a request's bearer token, or "" if there is none.
 func bearerHash(r *http.Request) string {
 	token, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 	if !ok {
--- a/process/config.go
+++ b/process/config.go
@@ -70,7 +70,7 @@
 	return true
 }
 
-// entriesAfter returns the entries entriesAfter a version, or the complete configuration if
+// entriesAfter returns the entries after a version, or the complete configuration if
 // they are no longer cached.
 func (c *configStore) entriesAfter(v int64) conn.Payload {
 	c.mu.Lock()
--- a/process/crash_test.go
+++ b/process/crash_test.go
@@ -121,7 +121,7 @@
 	time.Sleep(time.Second)
 }
 
-func TestACallThatCrashesEndpointsIsHeldBackByAllDaemons(t *testing.T) {
+func TestCrashingCallIsHeldBackByAllDaemons(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newCrashFleet(t, 3, 20)
 		defer f.close()
--- a/process/fleet.go
+++ b/process/fleet.go
@@ -72,7 +72,7 @@
 	}
 }
 
-// pollBoxes polls the platform's box pollBoxes.
+// pollBoxes polls the platform's box list.
 func (f *fleet) pollBoxes(now time.Time) time.Duration {
 	period := f.d.sharedPeriod(f.d.Settings.Timing.List.Duration)
 	ctx, cancel := context.WithTimeout(f.d.ctx, tableTimeout)
@@ -167,7 +167,7 @@
 	return fresh
 }
 
-// pollNotices polls the platform's reclaim pollNotices.
+// pollNotices polls the platform's reclaim notices.
 func (f *fleet) pollNotices(now time.Time) time.Duration {
 	period := f.d.fleetPeriod(f.d.Settings.Timing.List.Duration) / 2
 	ctx, cancel := context.WithTimeout(f.d.ctx, tableTimeout)
--- a/process/operators.go
+++ b/process/operators.go
@@ -257,7 +257,7 @@
 	return o.d.registry.GetAll(), nil
 }
 
-// registerMetrics registers the metrics registerMetrics.
+// registerMetrics registers the metrics gauges.
 func (d *Daemon) registerMetrics() {
 	c := &d.Server.Count
 	for name, v := range map[string]func() int64{
--- a/process/peers.go
+++ b/process/peers.go
@@ -39,7 +39,7 @@
 	Snapshot request.Snapshot `codec:"s"`
 }
 
-// handoverStore stores answers handoverStore over by daemons that are shutting down, until
+// handoverStore stores answers handed over by daemons that are shutting down, until
 // their callers reconnect.
 type handoverStore struct {
 	mu  sync.Mutex
