--- a/process/jobs.go
+++ b/process/jobs.go
@@ -27,7 +27,7 @@
 
 	mu     sync.Mutex
 	shards map[string]*shard
-	frozen time.Time // in fault tests, the time at which this lead's clock stopped; otherwise zero
+	frozen time.Time // in fault tests, the time at which this placer's clock stopped; otherwise zero
 }
 
 // shard is the capacity of one service.
