--- a/explain/line.go
+++ b/explain/line.go
@@ -118,7 +118,7 @@
 	Lines   []Line
 	Unread  int   // lines that could not be parsed
 	Lost    int   // lines that daemons report as dropped
-	Example error // parse error of the last unread line
+	Example error // parse error of the last such line
 }
 
 // Read parses the lines of one box. Words before a line's JSON are stripped and the last
--- a/process/config.go
+++ b/process/config.go
@@ -172,7 +172,7 @@
 	isolated := now.Sub(synced) > isolationTimeout && d.Hub.Mesh.Neighbours() == 0
 	ok := have && !d.draining.Load() && (!isolated || d.Settings.Isolated == "serve")
 	if d.ready.Swap(ok) != ok {
-		d.log.WithField("part", "process").Infof("readiness changed: %t (configuration loaded: %t, isolated: %t)", ok, have, isolated)
+		d.log.WithField("part", "process").Infof("ready: %t (configuration loaded: %t, isolated: %t)", ok, have, isolated)
 	}
 }
 
--- a/process/daemon.go
+++ b/process/daemon.go
@@ -229,7 +229,7 @@
 // requests, drains them or hands the rest over to peers, and leaves the mesh.
 func (d *Daemon) Stop(ctx context.Context) {
 	log := d.log.WithField("part", "process")
-	log.Infof("shutdown: %s reports unready", d.Self.Name)
+	log.Infof("stop: %s reports unready", d.Self.Name)
 	d.draining.Store(true)
 	d.ready.Store(false)
 	d.callers.SetKeepAlivesEnabled(false)
@@ -243,7 +243,7 @@
 	}
 	if err != nil {
 		n := d.handOver()
-		log.Infof("shutdown: drain incomplete, %d requests handed over: %v", n, err)
+		log.Infof("stop: drain incomplete, %d requests handed over: %v", n, err)
 	}
 	d.Hub.Leave(time.Now())
 	sleep(ctx, leavePause)
--- a/process/fleet.go
+++ b/process/fleet.go
@@ -161,7 +161,7 @@
 	}
 	f.mu.Unlock()
 	for _, n := range fresh {
-		f.log.Infof("reclaim notice: box %s leaves in %s", n.Box, n.Deadline.Sub(now).Round(time.Millisecond))
+		f.log.Infof("notice: box %s leaves in %s", n.Box, n.Deadline.Sub(now).Round(time.Millisecond))
 	}
 	f.d.Server.Notice(now, leaves)
 	return fresh
--- a/process/operators.go
+++ b/process/operators.go
@@ -193,7 +193,7 @@
 		ctx, cancel := context.WithTimeout(o.d.ctx, 2*tableTimeout)
 		defer cancel()
 		if err := o.d.config.log.Snapshot(ctx, c); err != nil {
-			o.log.Infof("configuration snapshot failed: %v", err)
+			o.log.Infof("snapshot: storing the configuration failed: %v", err)
 		}
 	}()
 	return o.waitInForce(ctx, p.ID, c.Applied[p.ID]), nil
