--- a/explain/line.go
+++ b/explain/line.go
@@ -15,25 +15,25 @@
 	"github.com/pkg/errors"
 )
 
-// Line is one line of a daemon, with the fields that tell of requests.
+// Line is one log line of a daemon, with the fields that describe requests and roll-outs.
 type Line struct {
-	Box  string        // that wrote it
+	Box  string        // box that wrote the line
 	At   time.Duration // since midnight, by the box's clock
 	Text string
 
 	Request, Service, Route, Team string
 	Attempt                       int
-	Left, Age                     time.Duration // until the deadline, since the arrival
+	TimeLeft, Age                 time.Duration // until the deadline, since the arrival
 
-	Endpoint, Zone, Why string
-	Load                int
-	LoadAge             time.Duration // of the load that was known; less than 0 for never told
-	Wait, Read          time.Duration // to the prompt's turn; to read it
-	Fresh               int           // tokens that the engine does not keep
+	Endpoint, Zone, Why    string
+	Load                   int
+	LoadAge                time.Duration // age of Load; negative if no load was ever reported
+	QueueWait, PrefillTime time.Duration // until the prompt's prefill starts; duration of its prefill
+	UncachedTokens         int           // prompt tokens not in the engine's cache
 
-	Ending, Then    string // how an attempt ended, and what follows
-	MayHaveRun      bool
-	First, Expected time.Duration // to the first event
+	Ending, Then              string // how an attempt ended; the next action
+	MayHaveRun                bool
+	FirstEvent, FirstExpected time.Duration // to the first event
 
 	Code       int
 	Ran        string
@@ -41,15 +41,15 @@
 	RetryAfter time.Duration
 	CatalogAge time.Duration
 	Version    int64
-	Lost       int // lines left out before
+	Dropped    int // lines dropped before this one
 
-	Part          string // of the daemon
-	Order         int64  // to move a service to a version
+	Part          string // part of the daemon that logged the line
+	Order         int64  // number of the order to move a service to a version
 	Target, Stage string
-	For, After    time.Duration // until its deadline, since it was heard of
+	For, After    time.Duration // until the order's deadline; since the daemon learned of it
 }
 
-// wireLine is a line as daemons write it.
+// wireLine is the JSON form of a log line.
 type wireLine struct {
 	Time       string `json:"time"`
 	Text       string `json:"msg"`
@@ -93,14 +93,14 @@
 func (w wireLine) decode(box string) (Line, error) {
 	l := Line{
 		Box: box, Text: w.Text, Request: w.Request, Service: w.Service, Route: w.Route, Team: w.Team, Attempt: w.Attempt,
-		Left: millis(w.Left), Age: millis(w.Age), Endpoint: w.Endpoint, Zone: w.Zone, Why: w.Why, Load: w.Load,
-		LoadAge: millis(w.LoadAge), Wait: millis(w.Wait), Read: millis(w.Read), Fresh: w.Fresh, Ending: w.Ending, Then: w.Then,
-		MayHaveRun: w.MayHaveRun, First: millis(w.First), Expected: millis(w.Expected), Code: w.Code, Ran: w.Ran,
-		Status: w.Status, RetryAfter: millis(w.RetryAfter), CatalogAge: millis(w.CatalogAge), Version: w.Version, Lost: w.Lost,
+		TimeLeft: millis(w.Left), Age: millis(w.Age), Endpoint: w.Endpoint, Zone: w.Zone, Why: w.Why, Load: w.Load,
+		LoadAge: millis(w.LoadAge), QueueWait: millis(w.Wait), PrefillTime: millis(w.Read), UncachedTokens: w.Fresh, Ending: w.Ending, Then: w.Then,
+		MayHaveRun: w.MayHaveRun, FirstEvent: millis(w.First), FirstExpected: millis(w.Expected), Code: w.Code, Ran: w.Ran,
+		Status: w.Status, RetryAfter: millis(w.RetryAfter), CatalogAge: millis(w.CatalogAge), Version: w.Version, Dropped: w.Lost,
 		Part: w.Part, Order: w.Order, Target: w.Target, Stage: w.Stage, For: millis(w.For), After: millis(w.After),
 	}
 	if w.Time == "" {
-		return l, nil // of lines left out
+		return l, nil // the report of dropped lines has no time
 	}
 	at, err := time.Parse("15:04:05.000", w.Time)
 	if err != nil {
@@ -110,22 +110,22 @@
 	return l, nil
 }
 
-// lineMost bounds the length of a line.
-const lineMost = 1 << 20
+// maxLineBytes is the maximum length of a line in bytes.
+const maxLineBytes = 1 << 20
 
-// Log is the lines of some boxes, in order of time.
+// Log holds the log lines of any number of boxes; Sort puts them in order of time.
 type Log struct {
 	Lines   []Line
-	Unread  int   // lines that are none of a daemon's
-	Lost    int   // lines that daemons have left out
-	Example error // why one of the unread ones is none
+	Unread  int   // lines that could not be parsed
+	Lost    int   // lines that daemons report as dropped
+	Example error // parse error of the last such line
 }
 
-// Read adds what a box has written. Words before a line's JSON are taken off, and the
-// last of them names the box, so that one file may hold the lines of many.
+// Read parses the lines of one box. Words before a line's JSON are stripped and the last
+// of them overrides the box name, so that one file may hold the lines of many boxes.
 func (l *Log) Read(box string, r io.Reader) error {
 	s := bufio.NewScanner(r)
-	s.Buffer(nil, lineMost)
+	s.Buffer(nil, maxLineBytes)
 	for s.Scan() {
 		l.add(box, s.Bytes())
 	}
@@ -152,11 +152,11 @@
 		l.Example = err
 		return
 	}
-	l.Lost += line.Lost
+	l.Lost += line.Dropped
 	l.Lines = append(l.Lines, line)
 }
 
-// Sort puts the lines in order of time; those of one box at one time stay in theirs.
+// Sort orders the lines by time and keeps the order of lines with equal times.
 func (l *Log) Sort() {
 	slices.SortStableFunc(l.Lines, func(a, b Line) int { return cmp.Compare(a.At, b.At) })
 }
--- a/process/config.go
+++ b/process/config.go
@@ -16,31 +16,31 @@
 	"streambend.example/version"
 )
 
-// recentKept is how many entries are kept to give to neighbours.
-const recentKept = 256
+// maxRecentEntries is the number of recent log entries cached to send to neighbours.
+const maxRecentEntries = 256
 
-// current is the configuration in force here. It moves upward only.
-type current struct {
+// configStore holds the active configuration. Its version never decreases.
+type configStore struct {
 	log version.Log
 
 	mu     sync.Mutex
 	cfg    *version.Config
 	recent []version.Entry
-	synced time.Time // when the table last answered
-	have   bool      // from table or peers
+	synced time.Time // last successful read of the table
+	loaded bool      // whether a configuration has come from the table or a peer
 }
 
-func newCurrent(l version.Log) *current { return &current{log: l, cfg: version.Empty()} }
+func newConfigStore(l version.Log) *configStore { return &configStore{log: l, cfg: version.Empty()} }
 
-func (c *current) get() *version.Config {
+func (c *configStore) get() *version.Config {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.cfg
 }
 
-// apply takes entries in and reports whether the version grew, and whether
-// entries are missing in between.
-func (c *current) apply(es []version.Entry) (grew, gap bool) {
+// apply applies log entries and reports whether the version advanced, and
+// whether entries in between are missing.
+func (c *configStore) apply(es []version.Entry) (grew, gap bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, e := range es {
@@ -49,20 +49,20 @@
 			gap = gap || e.Version > c.cfg.Version+1
 			continue
 		}
-		c.cfg, grew, c.have = next, true, true
+		c.cfg, grew, c.loaded = next, true, true
 		c.recent = append(c.recent, e)
-		if len(c.recent) > recentKept {
-			c.recent = c.recent[len(c.recent)-recentKept:]
+		if len(c.recent) > maxRecentEntries {
+			c.recent = c.recent[len(c.recent)-maxRecentEntries:]
 		}
 	}
 	return grew, gap
 }
 
-// replace takes a whole configuration in, if it is newer.
-func (c *current) replace(cfg *version.Config) bool {
+// replace installs a complete configuration if it is newer.
+func (c *configStore) replace(cfg *version.Config) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.have = true
+	c.loaded = true
 	if cfg.Version <= c.cfg.Version {
 		return false
 	}
@@ -70,9 +70,9 @@
 	return true
 }
 
-// after returns the entries after a version, or the whole configuration if
-// they are not kept.
-func (c *current) after(v int64) conn.Payload {
+// entriesAfter returns the entries after a version, or the complete configuration if
+// they are no longer cached.
+func (c *configStore) entriesAfter(v int64) conn.Payload {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if len(c.recent) > 0 && c.recent[0].Version <= v+1 {
@@ -81,21 +81,21 @@
 	return conn.Payload{Config: c.cfg}
 }
 
-// tableSynced notes that the table has answered.
-func (c *current) tableSynced(now time.Time) {
+// tableSynced records a successful read of the table.
+func (c *configStore) tableSynced(now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.synced, c.have = now, true
+	c.synced, c.loaded = now, true
 }
 
-func (c *current) state() (synced time.Time, have bool) {
+func (c *configStore) state() (synced time.Time, have bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.synced, c.have
+	return c.synced, c.loaded
 }
 
-// sharedPeriod stretches a period so that its cost at the platform stays the
-// same for a zone however many daemons the zone has, and adds jitter.
+// sharedPeriod scales a polling period with the number of daemons in this zone,
+// so that the zone's total load on the platform stays constant, and adds jitter.
 func (d *Daemon) sharedPeriod(p time.Duration) time.Duration {
 	n := 0
 	for _, m := range d.Hub.Mesh.Members() {
@@ -103,20 +103,21 @@
 			n++
 		}
 	}
-	return stretch(p, n)
+	return scalePeriod(p, n)
 }
 
-// fleetPeriod does the same for what one daemon's look tells all the others.
+// fleetPeriod scales a period with the number of all daemons, for polls whose
+// results are broadcast.
 func (d *Daemon) fleetPeriod(p time.Duration) time.Duration {
-	return stretch(p, len(d.Hub.Mesh.Members()))
+	return scalePeriod(p, len(d.Hub.Mesh.Members()))
 }
 
-func stretch(p time.Duration, n int) time.Duration {
+func scalePeriod(p time.Duration, n int) time.Duration {
 	p = p * time.Duration(max(n, 2)) / 2
 	return p*9/10 + time.Duration(rand.Int64N(int64(p)/5+1))
 }
 
-// syncConfig is the backstop behind the push over the links.
+// syncConfig polls the configuration log, in case a push over the links was missed.
 func (d *Daemon) syncConfig(now time.Time) time.Duration {
 	ctx, cancel := context.WithTimeout(d.ctx, 2*tableTimeout)
 	defer cancel()
@@ -125,34 +126,34 @@
 	if before.Version == 0 {
 		var c *version.Config
 		if c, err = d.config.log.Load(ctx); err == nil && d.config.replace(c) {
-			d.inForce(c, "table")
+			d.onConfigChange(c, "table")
 		}
 	} else {
 		var fresh []version.Entry
 		if _, fresh, err = d.config.log.Advance(ctx, before); err == nil {
-			d.adopt(fresh, "table")
+			d.applyEntries(fresh, "table")
 		}
 	}
 	if err == nil {
 		d.config.tableSynced(now)
 	}
-	d.judgeReady(now)
+	d.updateReadiness(now)
 	return d.sharedPeriod(d.Settings.Timing.Poll.Duration)
 }
 
-// adopt takes entries in and reports whether the version grew.
-func (d *Daemon) adopt(es []version.Entry, from string) bool {
+// applyEntries applies log entries and reports whether the version advanced.
+func (d *Daemon) applyEntries(es []version.Entry, from string) bool {
 	grew, _ := d.config.apply(es)
 	if grew {
-		d.inForce(d.config.get(), from)
+		d.onConfigChange(d.config.get(), from)
 	}
 	return grew
 }
 
-// inForce follows a new version up.
-func (d *Daemon) inForce(c *version.Config, from string) {
+// onConfigChange updates the mesh, the services and the fleet after a version change.
+func (d *Daemon) onConfigChange(c *version.Config, from string) {
 	d.Hub.Mesh.SetVersion(c.Version)
-	d.log.WithField("part", "config").Infof("config: version %d in force, from %s", c.Version, from)
+	d.log.WithField("part", "config").Infof("config: version %d active, received from %s", c.Version, from)
 	for _, w := range d.Server.Works.All() {
 		if _, ok := c.Rows[w.Pool.Service]; !ok {
 			d.Server.Works.Drop(w.Pool.Service)
@@ -161,16 +162,17 @@
 	d.fleet.resync()
 }
 
-// isolationBound is how long neither table nor peers may be heard of.
-const isolationBound = 10 * time.Second
+// isolationTimeout is how long a daemon without neighbours may lack contact with
+// the table before it counts as isolated.
+const isolationTimeout = 10 * time.Second
 
-// judgeReady decides whether callers may be sent here.
-func (d *Daemon) judgeReady(now time.Time) {
+// updateReadiness updates the readiness reported to the load balancer.
+func (d *Daemon) updateReadiness(now time.Time) {
 	synced, have := d.config.state()
-	isolated := now.Sub(synced) > isolationBound && d.Hub.Mesh.Neighbours() == 0
+	isolated := now.Sub(synced) > isolationTimeout && d.Hub.Mesh.Neighbours() == 0
 	ok := have && !d.draining.Load() && (!isolated || d.Settings.Isolated == "serve")
 	if d.ready.Swap(ok) != ok {
-		d.log.WithField("part", "process").Infof("ready: %t (configuration %t, isolated %t)", ok, have, isolated)
+		d.log.WithField("part", "process").Infof("ready: %t (configuration loaded: %t, isolated: %t)", ok, have, isolated)
 	}
 }
 
@@ -180,8 +182,8 @@
 	seedPeriod   = 2 * time.Second
 )
 
-// syncMembers writes our row and reads the others', so that daemons that know
-// nobody find each other.
+// syncMembers writes this daemon's member row and reads the others', so that
+// daemons without neighbours can discover each other.
 func (d *Daemon) syncMembers(now time.Time) time.Duration {
 	ctx, cancel := context.WithTimeout(d.ctx, 2*tableTimeout)
 	defer cancel()
@@ -221,29 +223,29 @@
 	}
 }
 
-// take takes in what a link has brought.
-func (d *Daemon) take(now time.Time, in conn.Delivery) {
+// handleDelivery processes a payload received over a link.
+func (d *Daemon) handleDelivery(now time.Time, in conn.Delivery) {
 	p := in.Payload
 	if in.Want > 0 {
-		d.Hub.Give(in.From, d.config.after(in.Want-1))
+		d.Hub.Give(in.From, d.config.entriesAfter(in.Want-1))
 	}
 	if p.Config != nil && d.config.replace(p.Config) {
-		d.inForce(d.config.get(), in.From)
+		d.onConfigChange(d.config.get(), in.From)
 	}
 	if len(p.Entries) > 0 {
-		d.adopt(p.Entries, in.From)
-		// A gap is closed by the heartbeats: a neighbour that is ahead is
-		// asked for what is missing.
+		d.applyEntries(p.Entries, in.From)
+		// Heartbeats repair a gap: missing entries are requested from a
+		// neighbour that has a newer version.
 	}
 	if p.Config != nil || len(p.Entries) > 0 {
-		d.judgeReady(now)
+		d.updateReadiness(now)
 	}
 	d.Server.Holds.Take(now, in.From, p)
-	d.fleet.notice(now, p.Notices)
+	d.fleet.recordNotices(now, p.Notices)
 	for _, l := range p.Loads {
-		d.fleet.hear(now, l)
+		d.fleet.recordLoad(now, l)
 	}
 	if len(p.Demands) > 0 {
-		d.fleet.hearDemand(now, in.From, p.Demands)
+		d.fleet.recordDemand(now, in.From, p.Demands)
 	}
 }
--- a/process/daemon.go
+++ b/process/daemon.go
@@ -23,21 +23,21 @@
 	"streambend.example/version"
 )
 
-// Platform is what a daemon needs of the platform.
+// Platform holds the platform services that a daemon depends on.
 type Platform struct {
 	Table   seam.Table
 	Objects seam.Objects
 	Cloud   seam.Cloud
 	Boxes   seam.BoxList
 	Network seam.Network
-	Close   func() // closes the connections kept
+	Close   func() // closes idle connections
 
-	// Adjust changes the request options, for trials that switch one
-	// mechanism off; nil for none.
+	// Adjust modifies the request options, for trials that disable one
+	// mechanism; may be nil.
 	Adjust func(*request.Options)
 }
 
-// Adapters returns the adapters that the settings name.
+// Adapters returns the platform adapters configured in the settings.
 func Adapters(s Settings, n seam.Network) Platform {
 	client := seam.HTTPClient(n, cloudTimeout)
 	api := cloud.HTTP{Base: s.Platform.Cloud, Client: client}
@@ -51,8 +51,8 @@
 }
 
 const (
-	tableTimeout = 2 * time.Second // of one call to the table
-	cloudTimeout = 5 * time.Second // of one call to any service of the platform
+	tableTimeout = 2 * time.Second // per call to the table
+	cloudTimeout = 5 * time.Second // per call to any platform service
 )
 
 // Daemon is a running daemon.
@@ -62,14 +62,14 @@
 	Server   *request.Server
 	Hub      *conn.Hub
 
-	log      *logrus.Logger
-	plat     Platform
-	tables   tables
-	config   *current
-	fleet    *fleet
-	lead     *lead
-	handed   *handed
-	registry metrics.Registry
+	log       *logrus.Logger
+	platform  Platform
+	tables    tables
+	config    *configStore
+	fleet     *fleet
+	placer    *placer
+	handovers *handoverStore
+	registry  metrics.Registry
 
 	callers   *http.Server
 	operators *http.Server
@@ -83,14 +83,14 @@
 	wg       sync.WaitGroup
 }
 
-// Addresses are the addresses that a daemon listens on.
+// Addresses holds the addresses that a daemon listens on.
 type Addresses struct {
 	Callers   string
 	Operators string
 	Peers     string
 }
 
-// tables are the table at each priority, over one bucket.
+// tables holds one view of the table per priority; all share one token bucket.
 type tables struct {
 	claim, lease, config, report seam.Table
 }
@@ -106,18 +106,18 @@
 	}
 }
 
-// New starts a daemon. It is ready once it has a configuration.
+// New starts a daemon, which becomes ready once it has loaded a configuration.
 func New(s Settings, p Platform, log *logrus.Logger) (*Daemon, error) {
 	ls, err := listen(s.Listen, p.Network)
 	if err != nil {
 		return nil, err
 	}
-	d := &Daemon{Settings: s, plat: p, log: log, registry: metrics.NewRegistry()}
+	d := &Daemon{Settings: s, platform: p, log: log, registry: metrics.NewRegistry()}
 	d.ctx, d.cancel = context.WithCancel(context.Background())
 	d.addrs = Addresses{ls.callers.Addr().String(), ls.operators.Addr().String(), ls.peers.Addr().String()}
 	d.Self = conn.Member{Name: s.Name, Start: time.Now().UnixMilli(), Address: d.addrs.Peers, Zone: s.Zone}
 	d.tables = newTables(p.Table, s.Platform.TableRate)
-	d.handed = newHanded()
+	d.handovers = newHandoverStore()
 	client := conn.NewClient(p.Network, s.Limits.BodyBytes)
 	claims := request.NewClaims(d.instance(), d.tables.claim)
 	opts := s.options()
@@ -126,26 +126,26 @@
 		p.Adjust(&opts)
 	}
 	d.Server = request.NewServer(opts, client, claims, peerAsker{d}, log)
-	d.config = newCurrent(version.Log{Table: d.tables.config, Objects: p.Objects})
+	d.config = newConfigStore(version.Log{Table: d.tables.config, Objects: p.Objects})
 	mesh := conn.NewMesh(d.Self, conn.DefaultTiming())
-	d.Hub = conn.NewHub(mesh, d.Self, p.Network, s.Peers.Secret, log, d.take, d.answerAsk)
+	d.Hub = conn.NewHub(mesh, d.Self, p.Network, s.Peers.Secret, log, d.handleDelivery, d.handlePeerRequest)
 	d.fleet = newFleet(d)
-	d.lead = newLead(d)
-	d.gauges()
+	d.placer = newPlacer(d)
+	d.registerMetrics()
 	d.serve(ls)
-	d.background()
+	d.startPeriodicTasks()
 	return d, nil
 }
 
-// instance names this start of the daemon.
+// instance identifies this run of the daemon; it changes on restart.
 func (d *Daemon) instance() string { return instanceOf(d.Self) }
 
 func instanceOf(m conn.Member) string { return fmt.Sprintf("%s#%d", m.Name, m.Start) }
 
-// Addresses returns where the daemon listens.
+// Addresses returns the addresses that the daemon listens on.
 func (d *Daemon) Addresses() Addresses { return d.addrs }
 
-// Config returns the configuration in force here.
+// Config returns the configuration active in this daemon.
 func (d *Daemon) Config() *version.Config { return d.config.get() }
 
 type listeners struct {
@@ -165,17 +165,17 @@
 }
 
 const (
-	headerWait = 10 * time.Second
-	idleWait   = 2 * time.Minute
+	headerTimeout = 10 * time.Second
+	idleTimeout   = 2 * time.Minute
 )
 
 func (d *Daemon) newServer(h http.Handler) *http.Server {
 	return &http.Server{
-		Handler: h, ReadHeaderTimeout: headerWait, IdleTimeout: idleWait, MaxHeaderBytes: d.Settings.Limits.HeaderBytes,
+		Handler: h, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: d.Settings.Limits.HeaderBytes,
 	}
 }
 
-// serve starts the servers.
+// serve starts the HTTP servers.
 func (d *Daemon) serve(ls listeners) {
 	d.callers = d.newServer(newCallers(d))
 	d.operators = d.newServer(newOperators(d))
@@ -184,12 +184,12 @@
 	d.peers = d.newServer(mux)
 	limited := netutil.LimitListener(ls.callers, d.Settings.Limits.Connections)
 	tls := d.Settings.TLS
-	d.run(func() { d.serveOn(d.callers, limited, tls) })
-	d.run(func() { d.serveOn(d.operators, ls.operators, tls) })
-	d.run(func() { d.serveOn(d.peers, ls.peers, TLSSettings{}) })
+	d.run(func() { d.serveListener(d.callers, limited, tls) })
+	d.run(func() { d.serveListener(d.operators, ls.operators, tls) })
+	d.run(func() { d.serveListener(d.peers, ls.peers, TLSSettings{}) })
 }
 
-func (d *Daemon) serveOn(s *http.Server, l net.Listener, t TLSSettings) {
+func (d *Daemon) serveListener(s *http.Server, l net.Listener, t TLSSettings) {
 	var err error
 	if t.Certificate != "" {
 		err = s.ServeTLS(l, t.Certificate, t.Key)
@@ -210,9 +210,9 @@
 	}()
 }
 
-// every runs f at once and then with the period that it returns, until the
+// runPeriodically runs f immediately and again after each delay that f returns, until the
 // daemon stops.
-func (d *Daemon) every(f func(now time.Time) time.Duration) {
+func (d *Daemon) runPeriodically(f func(now time.Time) time.Duration) {
 	d.run(func() {
 		for {
 			wait := f(time.Now())
@@ -225,16 +225,16 @@
 	})
 }
 
-// Stop stops the daemon as planned: unready, then closed to new requests,
-// then finished or handed over, then gone.
+// Stop shuts the daemon down gracefully: it reports unready, stops accepting
+// requests, drains them or hands the rest over to peers, and leaves the mesh.
 func (d *Daemon) Stop(ctx context.Context) {
 	log := d.log.WithField("part", "process")
-	log.Infof("stop: %s is unready", d.Self.Name)
+	log.Infof("stop: %s reports unready", d.Self.Name)
 	d.draining.Store(true)
 	d.ready.Store(false)
 	d.callers.SetKeepAlivesEnabled(false)
 	sleep(ctx, d.Settings.Timing.Unready.Duration)
-	d.lead.release()
+	d.placer.release()
 	drain, cancel := context.WithTimeout(ctx, d.Settings.Timing.Drain.Duration)
 	defer cancel()
 	err := d.callers.Shutdown(drain)
@@ -243,14 +243,14 @@
 	}
 	if err != nil {
 		n := d.handOver()
-		log.Infof("stop: %d requests handed over: %v", n, err)
+		log.Infof("stop: drain incomplete, %d requests handed over: %v", n, err)
 	}
 	d.Hub.Leave(time.Now())
 	sleep(ctx, leavePause)
 	d.Kill()
 }
 
-// leavePause lets the last frames and answers go out.
+// leavePause lets the last frames and answers be sent before connections close.
 const leavePause = 200 * time.Millisecond
 
 func sleep(ctx context.Context, t time.Duration) {
@@ -260,12 +260,12 @@
 	}
 }
 
-// Kill ends the daemon without notice to anyone.
+// Kill stops the daemon at once, without draining or notifying peers.
 func (d *Daemon) Kill() {
 	d.draining.Store(true)
 	d.cancel()
-	// The callers' connections first: what is cut short now has no answer
-	// that a caller should take for one.
+	// Close the callers' connections first, so that no caller takes a
+	// truncated answer for a complete one.
 	d.callers.Close()
 	d.Server.Kill()
 	d.operators.Close()
@@ -273,26 +273,26 @@
 	d.Hub.Close()
 	d.wg.Wait()
 	d.Server.Client.Close()
-	d.plat.Close()
+	d.platform.Close()
 }
 
-// background starts what runs by the clock.
-func (d *Daemon) background() {
-	d.every(func(now time.Time) time.Duration {
+// startPeriodicTasks starts the periodic tasks.
+func (d *Daemon) startPeriodicTasks() {
+	d.runPeriodically(func(now time.Time) time.Duration {
 		d.Server.Works.Tick(now, len(d.Hub.Mesh.Members()))
 		return 100 * time.Millisecond
 	})
-	d.every(d.syncConfig)
-	d.every(d.syncMembers)
-	d.every(d.fleet.list)
-	d.every(d.fleet.notices)
-	d.every(d.fleet.watch)
-	d.every(d.fleet.demand)
-	d.every(d.lead.step)
-	d.every(d.lead.placeAll)
+	d.runPeriodically(d.syncConfig)
+	d.runPeriodically(d.syncMembers)
+	d.runPeriodically(d.fleet.pollBoxes)
+	d.runPeriodically(d.fleet.pollNotices)
+	d.runPeriodically(d.fleet.probeEndpoints)
+	d.runPeriodically(d.fleet.broadcastDemand)
+	d.runPeriodically(d.placer.step)
+	d.runPeriodically(d.placer.placeAll)
 	d.run(func() { d.loadHolds(d.ctx) })
-	d.every(func(now time.Time) time.Duration {
+	d.runPeriodically(func(now time.Time) time.Duration {
 		d.Server.Holds.Again(now)
-		return holdsAgain
+		return holdsResendPeriod
 	})
 }
--- a/process/fleet.go
+++ b/process/fleet.go
@@ -16,51 +16,50 @@
 	"streambend.example/seam"
 )
 
-// fleet is what this daemon knows of the boxes and their endpoints.
+// fleet tracks the boxes, their endpoints' load and the demand reported by other daemons.
 type fleet struct {
 	d   *Daemon
 	log *logrus.Entry
 
-	mu      sync.Mutex
-	seq     int64
-	boxes   []seam.Box
-	noticed map[string]time.Time // box to deadline
-	classes map[string]toldClass
-	events  map[string]int64 // box to the last cache event
-	probing map[string]bool
-	demands map[string]heard // daemon to what it has told
-	told    map[conn.Demand]bool
-	toldAt  time.Time
+	mu             sync.Mutex
+	seq            int64
+	boxes          []seam.Box
+	noticed        map[string]time.Time // box to reclaim deadline
+	classes        map[string]sentClass
+	cacheEventSeqs map[string]int64 // box to its last cache event's sequence number
+	probing        map[string]bool
+	demands        map[string]peerDemand // daemon to its last reported demand
+	sentDemands    map[conn.Demand]bool
+	demandsSentAt  time.Time
 }
 
-// toldClass is the class of an endpoint that this daemon has told last.
-type toldClass struct {
-	class request.Class
-	at    time.Time
-	again int // how often it was told again since it changed
+// sentClass is the load class last broadcast for an endpoint.
+type sentClass struct {
+	class   request.Class
+	at      time.Time
+	resends int // rebroadcasts since the last change
 }
 
-// A watcher tells an endpoint's class again although it has not changed, for those
-// who missed it: a daemon that has just met the others, or does not know the
-// endpoint yet. It does so after firstRetell, then after twice that and so on, at
-// the latest after retell.
+// An unchanged load class is broadcast again for daemons that missed it because they
+// have just joined or did not know the endpoint yet. The interval starts at
+// firstResend, doubles each time and is capped at maxResendPeriod.
 const (
-	firstRetell = 2 * time.Second
-	retell      = 4 * time.Minute
+	firstResend     = 2 * time.Second
+	maxResendPeriod = 4 * time.Minute
 )
 
-// due reports whether a class is to be told, and what is noted if so.
-func (c toldClass) due(now time.Time, class request.Class) (toldClass, bool) {
+// due reports whether a class must be broadcast, and returns the record to store if so.
+func (c sentClass) due(now time.Time, class request.Class) (sentClass, bool) {
 	if c.class != class || c.at.IsZero() {
-		return toldClass{class: class, at: now}, true
+		return sentClass{class: class, at: now}, true
 	}
-	if now.Sub(c.at) < min(retell, firstRetell<<min(c.again, 7)) {
+	if now.Sub(c.at) < min(maxResendPeriod, firstResend<<min(c.resends, 7)) {
 		return c, false
 	}
-	return toldClass{class: class, at: now, again: c.again + 1}, true
+	return sentClass{class: class, at: now, resends: c.resends + 1}, true
 }
 
-type heard struct {
+type peerDemand struct {
 	at      time.Time
 	demands []conn.Demand
 }
@@ -68,33 +67,33 @@
 func newFleet(d *Daemon) *fleet {
 	return &fleet{
 		d: d, log: d.log.WithField("part", "fleet"),
-		noticed: make(map[string]time.Time), classes: make(map[string]toldClass), events: make(map[string]int64),
-		probing: make(map[string]bool), demands: make(map[string]heard), told: make(map[conn.Demand]bool),
+		noticed: make(map[string]time.Time), classes: make(map[string]sentClass), cacheEventSeqs: make(map[string]int64),
+		probing: make(map[string]bool), demands: make(map[string]peerDemand), sentDemands: make(map[conn.Demand]bool),
 	}
 }
 
-// list reads the platform's box list.
-func (f *fleet) list(now time.Time) time.Duration {
+// pollBoxes polls the platform's box list.
+func (f *fleet) pollBoxes(now time.Time) time.Duration {
 	period := f.d.sharedPeriod(f.d.Settings.Timing.List.Duration)
 	ctx, cancel := context.WithTimeout(f.d.ctx, tableTimeout)
 	defer cancel()
 	f.mu.Lock()
 	since := f.seq
 	f.mu.Unlock()
-	page, err := f.d.plat.Boxes.List(ctx, since)
+	page, err := f.d.platform.Boxes.List(ctx, since)
 	if err != nil || page.Boxes == nil {
 		return period
 	}
-	if f.take(page) {
+	if f.setBoxes(page) {
 		f.resync()
 	}
 	return period
 }
 
-// take takes a list in, and reports whether it is newer than the one at hand. The
-// list lags, and what it shows may go back in time: boxes that an older one does
-// not show yet have not ended.
-func (f *fleet) take(page seam.BoxPage) bool {
+// setBoxes stores a box list unless it is older than the current one, and reports
+// whether it did. The list is eventually consistent and may go back in time: a
+// box missing from an older list has not necessarily ended.
+func (f *fleet) setBoxes(page seam.BoxPage) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if page.Seq < f.seq {
@@ -104,7 +103,7 @@
 	return true
 }
 
-// resync brings the pools in line with the list and the configuration.
+// resync reconciles the endpoint pools with the box list and the configuration.
 func (f *fleet) resync() {
 	now := time.Now()
 	f.mu.Lock()
@@ -122,31 +121,30 @@
 			listed = append(listed, conn.Notice{Box: b.ID, Deadline: b.Deadline})
 		}
 	}
-	f.found(now, listed...)
-	// A notice may have come before its box was known here.
+	f.reportNotices(now, listed...)
+	// A notice may arrive before its box is listed.
 	f.d.Server.Notice(now, noticed)
 }
 
-// snapshot returns the boxes as last listed.
+// snapshot returns the most recent box list.
 func (f *fleet) snapshot() []seam.Box {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.boxes
 }
 
-// noticeKept is how long a notice is remembered past its deadline.
-const noticeKept = 5 * time.Minute
+// noticeRetention is how long a notice is retained after its deadline.
+const noticeRetention = 5 * time.Minute
 
-// found takes in notices that this daemon has found itself, and tells the
-// others of what is news.
-func (f *fleet) found(now time.Time, ns ...conn.Notice) {
-	if fresh := f.notice(now, ns); len(fresh) > 0 {
+// reportNotices processes notices detected by this daemon and broadcasts the new ones.
+func (f *fleet) reportNotices(now time.Time, ns ...conn.Notice) {
+	if fresh := f.recordNotices(now, ns); len(fresh) > 0 {
 		f.d.Hub.Tell(conn.Payload{Notices: fresh})
 	}
 }
 
-// notice takes reclaim notices in and returns those that are news.
-func (f *fleet) notice(now time.Time, ns []conn.Notice) (fresh []conn.Notice) {
+// recordNotices records reclaim notices and returns those that are new.
+func (f *fleet) recordNotices(now time.Time, ns []conn.Notice) (fresh []conn.Notice) {
 	var leaves []request.Leave
 	f.mu.Lock()
 	for _, n := range ns {
@@ -157,24 +155,24 @@
 		}
 	}
 	for b, t := range f.noticed {
-		if now.Sub(t) > noticeKept {
+		if now.Sub(t) > noticeRetention {
 			delete(f.noticed, b)
 		}
 	}
 	f.mu.Unlock()
 	for _, n := range fresh {
-		f.log.Infof("notice: %s leaves in %s", n.Box, n.Deadline.Sub(now).Round(time.Millisecond))
+		f.log.Infof("notice: box %s leaves in %s", n.Box, n.Deadline.Sub(now).Round(time.Millisecond))
 	}
 	f.d.Server.Notice(now, leaves)
 	return fresh
 }
 
-// notices reads the platform's reclaim notices.
-func (f *fleet) notices(now time.Time) time.Duration {
+// pollNotices polls the platform's reclaim notices.
+func (f *fleet) pollNotices(now time.Time) time.Duration {
 	period := f.d.fleetPeriod(f.d.Settings.Timing.List.Duration) / 2
 	ctx, cancel := context.WithTimeout(f.d.ctx, tableTimeout)
 	defer cancel()
-	ns, err := f.d.plat.Cloud.Notices(ctx)
+	ns, err := f.d.platform.Cloud.Notices(ctx)
 	if err != nil {
 		return period
 	}
@@ -182,15 +180,16 @@
 	for _, n := range ns {
 		found = append(found, conn.Notice{Box: n.Box, Deadline: n.Deadline})
 	}
-	f.found(time.Now(), found...)
+	f.reportNotices(time.Now(), found...)
 	return period
 }
 
-// watchers is how many daemons look at each endpoint.
-const watchers = 2
+// watchersPerEndpoint is the number of daemons that probe each endpoint.
+const watchersPerEndpoint = 2
 
-// watches reports whether this daemon is one that looks at an endpoint: the
-// first of its zone's daemons in rendezvous order, or of all if there is none.
+// watches reports whether this daemon probes an endpoint: it does if it is among
+// the first in rendezvous order of the endpoint's zone, or of all daemons if the
+// zone has none.
 func watches(self conn.Member, members []conn.Member, t *request.Target) bool {
 	in := make([]conn.Member, 0, len(members))
 	for _, m := range members {
@@ -211,25 +210,25 @@
 			ahead++
 		}
 	}
-	return present && ahead < watchers
+	return present && ahead < watchersPerEndpoint
 }
 
-// watch looks at the load of this daemon's share of the endpoints, and tells
-// the others of those whose class has changed.
-func (f *fleet) watch(time.Time) time.Duration {
+// probeEndpoints probes this daemon's share of the endpoints and broadcasts the load
+// classes that are due.
+func (f *fleet) probeEndpoints(time.Time) time.Duration {
 	members := f.d.Hub.Mesh.Members()
 	var wg sync.WaitGroup
 	var mu sync.Mutex
 	var changed []conn.LoadClass
 	for _, w := range f.d.Server.Works.All() {
 		for _, t := range w.Pool.Targets() {
-			if !watches(f.d.Self, members, t) || !f.begin(t.ID) {
+			if !watches(f.d.Self, members, t) || !f.beginProbe(t.ID) {
 				continue
 			}
 			wg.Add(1)
 			go func() {
 				defer wg.Done()
-				defer f.finish(t.ID)
+				defer f.finishProbe(t.ID)
 				if c, ok := f.probe(w, t); ok {
 					mu.Lock()
 					defer mu.Unlock()
@@ -245,7 +244,7 @@
 	return f.d.Settings.Timing.Watch.Duration
 }
 
-func (f *fleet) begin(box string) bool {
+func (f *fleet) beginProbe(box string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	busy := f.probing[box]
@@ -253,31 +252,31 @@
 	return !busy
 }
 
-func (f *fleet) finish(box string) {
+func (f *fleet) finishProbe(box string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	delete(f.probing, box)
 }
 
-// probe asks one endpoint for its load. It reports whether the others are to
-// be told of its class.
+// probe queries one endpoint's load. It returns its load class and whether that
+// is due to be broadcast.
 func (f *fleet) probe(w *request.Work, t *request.Target) (conn.LoadClass, bool) {
 	ctx, cancel := context.WithTimeout(f.d.ctx, f.d.Settings.Timing.Watch.Duration)
 	defer cancel()
 	f.mu.Lock()
-	since := f.events[t.ID]
+	since := f.cacheEventSeqs[t.ID]
 	f.mu.Unlock()
 	load, err := f.d.Server.Client.Load(ctx, t.Address, since)
 	now := time.Now()
 	if err != nil {
 		if _, leaving := t.Leaving(); !leaving && f.d.ctx.Err() == nil && t.Fail(now, false) {
-			f.log.Warnf("eject: %s does not tell its load: %v", t.ID, err)
+			f.log.Warnf("eject: load probe of %s failed: %v", t.ID, err)
 		}
 		return conn.LoadClass{}, false
 	}
 	f.cacheEvents(w, t, since, load.Events)
 	if load.Leaving {
-		f.found(now, conn.Notice{Box: t.ID, Deadline: now.Add(time.Minute)})
+		f.reportNotices(now, conn.Notice{Box: t.ID, Deadline: now.Add(time.Minute)})
 		return conn.LoadClass{}, false
 	}
 	t.Report(now, load.Running+load.Waiting, load.Batch)
@@ -303,12 +302,12 @@
 		since = e.Seq
 	}
 	f.mu.Lock()
-	f.events[t.ID] = since
+	f.cacheEventSeqs[t.ID] = since
 	f.mu.Unlock()
 }
 
-// hear takes in the class that a watcher has told of.
-func (f *fleet) hear(now time.Time, l conn.LoadClass) {
+// recordLoad records a load class broadcast by another daemon.
+func (f *fleet) recordLoad(now time.Time, l conn.LoadClass) {
 	if l.Class < 0 || l.Class > int(request.Leaving) {
 		return
 	}
@@ -318,43 +317,43 @@
 }
 
 const (
-	demandPeriod = time.Second
-	demandRepeat = 10 * time.Second
-	demandLife   = 25 * time.Second
+	demandPeriod       = time.Second
+	demandResendPeriod = 10 * time.Second
+	demandTTL          = 25 * time.Second
 )
 
-// demand tells the others how many requests of each service are here, when
-// that has changed.
-func (f *fleet) demand(now time.Time) time.Duration {
+// broadcastDemand broadcasts the number of running and queued requests per service when it
+// changes, and repeats it every demandResendPeriod.
+func (f *fleet) broadcastDemand(now time.Time) time.Duration {
 	var ds []conn.Demand
 	for _, w := range f.d.Server.Works.All() {
 		running, queued := w.Queue.State()
 		if n := running + queued; n > 0 {
-			ds = append(ds, conn.Demand{Service: w.Pool.Service, Count: roughly(n)})
+			ds = append(ds, conn.Demand{Service: w.Pool.Service, Count: roundCount(n)})
 		}
 	}
 	f.mu.Lock()
-	same := len(ds) == len(f.told) && !slices.ContainsFunc(ds, func(x conn.Demand) bool { return !f.told[x] })
-	due := !same || now.Sub(f.toldAt) >= demandRepeat && len(ds) > 0
+	same := len(ds) == len(f.sentDemands) && !slices.ContainsFunc(ds, func(x conn.Demand) bool { return !f.sentDemands[x] })
+	due := !same || now.Sub(f.demandsSentAt) >= demandResendPeriod && len(ds) > 0
 	if due {
-		f.told, f.toldAt = make(map[conn.Demand]bool), now
+		f.sentDemands, f.demandsSentAt = make(map[conn.Demand]bool), now
 		for _, x := range ds {
-			f.told[x] = true
+			f.sentDemands[x] = true
 		}
 	}
 	f.mu.Unlock()
 	if due {
-		f.hearDemand(now, f.d.Self.Name, ds)
-		// The empty demand keeps the list from being left out when there is
-		// no other.
+		f.recordDemand(now, f.d.Self.Name, ds)
+		// The empty element keeps the codec from omitting the list when there
+		// is no demand.
 		f.d.Hub.Tell(conn.Payload{Demands: append(ds, conn.Demand{})})
 	}
 	return demandPeriod
 }
 
-// roughly rounds a count up to two steps for each doubling, so that small
-// changes need not be told.
-func roughly(n int) int {
+// roundCount rounds a count up to one of two steps per doubling, so that small
+// changes are not broadcast.
+func roundCount(n int) int {
 	step := 1
 	for step*4 < n {
 		step *= 2
@@ -362,19 +361,19 @@
 	return (n + step - 1) / step * step
 }
 
-func (f *fleet) hearDemand(now time.Time, from string, ds []conn.Demand) {
+func (f *fleet) recordDemand(now time.Time, from string, ds []conn.Demand) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.demands[from] = heard{at: now, demands: ds}
+	f.demands[from] = peerDemand{at: now, demands: ds}
 }
 
-// demandOf returns how many requests of a service are at all daemons.
+// demandOf returns the number of requests for a service across all daemons.
 func (f *fleet) demandOf(now time.Time, service string) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	n := 0
 	for from, h := range f.demands {
-		if now.Sub(h.at) > demandLife {
+		if now.Sub(h.at) > demandTTL {
 			delete(f.demands, from)
 			continue
 		}
--- a/process/jobs.go
+++ b/process/jobs.go
@@ -15,65 +15,65 @@
 	"streambend.example/version"
 )
 
-// lead does the jobs that one daemon at a time does: it holds the leases of
-// the services' capacity and orders boxes under them.
-type lead struct {
-	d     *Daemon
-	log   *logrus.Entry
-	loads *rate.Limiter // orders to load weights
-
-	prices   []seam.Price // read by placeAll alone
+// placer runs the jobs that only one daemon at a time may run: it holds the
+// services' capacity leases and starts and stops boxes under them.
+type placer struct {
+	d           *Daemon
+	log         *logrus.Entry
+	loadLimiter *rate.Limiter // limits orders to load weights
+
+	prices   []seam.Price // used only by placeAll
 	pricedAt time.Time
 
 	mu     sync.Mutex
 	shards map[string]*shard
-	frozen time.Time // for fault tests: the time that this part believes in
+	frozen time.Time // in fault tests, the time at which this placer's clock stopped; otherwise zero
 }
 
 // shard is the capacity of one service.
 type shard struct {
-	lease    *version.Lease
-	since    time.Time // when this daemon took the lease
-	refused  map[version.BoxKind]time.Time
-	backoff  map[version.BoxKind]time.Duration
-	ordered  map[string]orderedBox
-	stopping map[string]time.Time
-	loaded   map[string]bool
-	dear     map[string]time.Time
-	lost     map[string]float64 // zone to boxes lost lately, fading
-	seenGone map[string]bool
-	surplus  time.Time
-	blind    time.Time // since when the table has not answered; zero if it has
-	need     forecast
-	last     version.PlaceDecision
+	lease          *version.Lease
+	leasedAt       time.Time // when this daemon took the lease
+	refused        map[version.BoxKind]time.Time
+	backoff        map[version.BoxKind]time.Duration
+	ordered        map[string]orderedBox
+	stopping       map[string]time.Time
+	loaded         map[string]bool
+	overpriced     map[string]time.Time
+	lost           map[string]float64 // zone to recently lost boxes, decaying over time
+	lossCounted    map[string]bool
+	surplus        time.Time
+	tableDownSince time.Time // start of the current table outage; zero if the table answers
+	need           forecast
+	last           version.PlaceDecision
 }
 
-// orderedBox is a box that the list does not show yet.
+// orderedBox is a started box that the box list may not show yet.
 type orderedBox struct {
 	box seam.Box
 	at  time.Time
 }
 
-func newLead(d *Daemon) *lead {
-	return &lead{
+func newPlacer(d *Daemon) *placer {
+	return &placer{
 		d: d, log: d.log.WithField("part", "place"),
-		loads: rate.NewLimiter(rate.Limit(d.Settings.Platform.LoadRate), 4), shards: make(map[string]*shard),
+		loadLimiter: rate.NewLimiter(rate.Limit(d.Settings.Platform.LoadRate), 4), shards: make(map[string]*shard),
 	}
 }
 
 const (
-	contenders   = 2 // daemons that try for a lease
-	orderedLife  = 30 * time.Second
-	refuseFirst  = 2 * time.Second
-	refuseMost   = 2 * time.Minute
-	placePeriod  = 500 * time.Millisecond
-	orderLongest = 5 * time.Second // an order to an endpoint takes no longer
-	swapAfter    = 10 * time.Minute
-	pricesLife   = 15 * time.Second
+	contenders        = 2 // daemons that compete for a lease
+	orderedTTL        = 30 * time.Second
+	minRefusalBackoff = 2 * time.Second
+	maxRefusalBackoff = 2 * time.Minute
+	placePeriod       = 500 * time.Millisecond
+	orderTimeout      = 5 * time.Second // timeout of an order to the cloud or an endpoint
+	swapAfter         = 10 * time.Minute
+	pricesTTL         = 15 * time.Second
 )
 
-// contends reports whether this daemon is one that tries for a shard's lease.
-func (l *lead) contends(name string) bool {
+// contends reports whether this daemon competes for a shard's lease, by rendezvous order.
+func (l *placer) contends(name string) bool {
 	mine := xxhash.Sum64String(l.d.Self.Name + "|" + name)
 	ahead := 0
 	for _, m := range l.d.Hub.Mesh.Members() {
@@ -84,9 +84,9 @@
 	return ahead < contenders
 }
 
-// step renews the leases held, and tries for those that this daemon contends
-// for.
-func (l *lead) step(time.Time) time.Duration {
+// step renews the leases held and tries to acquire those that this daemon
+// competes for.
+func (l *placer) step(time.Time) time.Duration {
 	period := l.d.Settings.Timing.Lease.Duration / 3
 	if l.isFrozen() || l.d.draining.Load() {
 		return period
@@ -105,7 +105,7 @@
 	return period
 }
 
-func (l *lead) stepShard(key string, s *shard, held bool) {
+func (l *placer) stepShard(key string, s *shard, held bool) {
 	ctx, cancel := context.WithTimeout(l.d.ctx, 2*tableTimeout)
 	defer cancel()
 	now := time.Now()
@@ -118,48 +118,47 @@
 	*s.lease = lease
 	switch {
 	case err == nil:
-		s.blind = time.Time{}
-	case s.blind.IsZero():
-		s.blind = now
-		l.log.Warnf("lease: %s: %v", key, err)
+		s.tableDownSince = time.Time{}
+	case s.tableDownSince.IsZero():
+		s.tableDownSince = now
+		l.log.Warnf("lease: renewing or acquiring %s failed: %v", key, err)
 	}
 	epoch, ok := s.lease.Held(time.Now())
 	if ok && !held {
-		s.since = now
-		l.log.Infof("lease: %s taken, epoch %d", key, epoch)
+		s.leasedAt = now
+		l.log.Infof("lease: acquired %s, epoch %d", key, epoch)
 	}
 	if !ok && held {
-		l.log.Infof("lease: %s lost", key)
+		l.log.Infof("lease: lost %s", key)
 	}
 }
 
-func (l *lead) isFrozen() bool {
+func (l *placer) isFrozen() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return !l.frozen.IsZero()
 }
 
-// clock returns the time that leases are judged by; the caller holds the lock.
-func (l *lead) clock() time.Time {
+// clock returns the time used for lease expiry; the caller must hold mu.
+func (l *placer) clock() time.Time {
 	if !l.frozen.IsZero() {
 		return l.frozen
 	}
 	return time.Now()
 }
 
-// FreezeLeases makes this daemon as blind as a stopped process towards its
-// leases, for fault tests: it neither renews them nor notices that they lapse,
-// and goes on to order under them.
+// FreezeLeases simulates a paused process in fault tests: the daemon neither
+// renews its leases nor notices that they expire, and keeps issuing orders under them.
 func (d *Daemon) FreezeLeases(now time.Time, on bool) {
-	d.lead.mu.Lock()
-	defer d.lead.mu.Unlock()
-	d.lead.frozen = time.Time{}
+	d.placer.mu.Lock()
+	defer d.placer.mu.Unlock()
+	d.placer.frozen = time.Time{}
 	if on {
-		d.lead.frozen = now
+		d.placer.frozen = now
 	}
 }
 
-func (l *lead) shard(key string) *shard {
+func (l *placer) shard(key string) *shard {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	s := l.shards[key]
@@ -169,15 +168,15 @@
 			lease:   &version.Lease{Shard: key, Self: l.d.instance(), Term: term, Margin: term / 6},
 			refused: make(map[version.BoxKind]time.Time), backoff: make(map[version.BoxKind]time.Duration),
 			ordered: make(map[string]orderedBox), stopping: make(map[string]time.Time), loaded: make(map[string]bool),
-			dear: make(map[string]time.Time), lost: make(map[string]float64), seenGone: make(map[string]bool),
+			overpriced: make(map[string]time.Time), lost: make(map[string]float64), lossCounted: make(map[string]bool),
 		}
 		l.shards[key] = s
 	}
 	return s
 }
 
-// release frees all leases, for a planned stop.
-func (l *lead) release() {
+// release releases all leases on a graceful shutdown.
+func (l *placer) release() {
 	l.mu.Lock()
 	leases := make([]version.Lease, 0, len(l.shards))
 	for _, s := range l.shards {
@@ -188,15 +187,15 @@
 	for _, lease := range leases {
 		ctx, cancel := context.WithTimeout(l.d.ctx, tableTimeout)
 		if err := lease.Release(ctx, time.Now(), l.d.tables.lease); err != nil {
-			l.log.Warnf("lease: %s not released: %v", lease.Shard, err)
+			l.log.Warnf("lease: releasing %s failed: %v", lease.Shard, err)
 		}
 		cancel()
 	}
 }
 
-// status returns who holds a shard by the table's word, or by our last if the
-// table does not answer.
-func (l *lead) status(ctx context.Context, key string) leaseStatus {
+// status returns a shard's lease holder as read from the table, or as last known
+// here if the table does not answer.
+func (l *placer) status(ctx context.Context, key string) leaseStatus {
 	row, err := version.ReadLease(ctx, l.d.tables.report, key)
 	s := l.shard(key)
 	l.mu.Lock()
@@ -208,11 +207,12 @@
 	return leaseStatus{Service: key, Holder: row.Holder, Epoch: row.Epoch, Mine: mine}
 }
 
-func (l *lead) held(s *shard) (epoch int64, ok bool) {
+func (l *placer) heldEpoch(s *shard) (epoch int64, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return s.lease.Held(l.clock())
 }
 
-// maxGenerations bounds how many used-up start tokens are tried in one go.
+// maxGenerations is the maximum number of start tokens tried per order; a token
+// whose box is leaving is skipped.
 const maxGenerations = 16
