--- a/entry/outage.go
+++ b/entry/outage.go
@@ -22,8 +22,8 @@
 	// witnesses is how many daemons are queried at once when one reports a failure: in a fleet of 380 with 12
 	// zones a reader then answers 210 queries a second.
 	witnesses = 3
-	// reportRetention is how long the outcome for a daemon that is no longer queried is kept.
-	reportRetention = 10 * reportTTL
+	// peerReportRetention is how long the outcome for a daemon that is no longer queried is kept.
+	peerReportRetention = 10 * reportTTL
 	// recentlyServedAge is the age of a list up to which the store is taken to serve its holder: the longest wait
 	// of a query for changes, and a third more for its latency.
 	recentlyServedAge = 2 * time.Second
@@ -61,7 +61,7 @@
 	}
 	o.words[name] = w
 	for n, old := range o.words {
-		if w.Asked.Sub(old.Asked) > reportRetention {
+		if w.Asked.Sub(old.Asked) > peerReportRetention {
 			delete(o.words, n)
 		}
 	}
