--- a/pace/feedback.go
+++ b/pace/feedback.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Said is what an endpoint's answer announces about the endpoint itself.
-type Said struct {
+// Feedback is what an endpoint's answer announces about the endpoint itself.
+type Feedback struct {
 	PerSecond float64       // requests a second that it accepts from all daemons together, if Limited
 	Limited   bool          // the answer announces a rate limit
 	Unclear   bool          // the announced limit is not a number
@@ -32,7 +32,7 @@
 const maxBackoff = 10 * time.Minute
 
 // Believed returns s without out-of-range values, which are added to Bad.
-func (s Said) Believed() Said {
+func (s Feedback) Believed() Feedback {
 	if s.Limited {
 		named := s.PerSecond
 		if s.PerSecond, s.Limited = Believable(named); !s.Limited {
--- a/request/relay.go
+++ b/request/relay.go
@@ -46,7 +46,7 @@
 	HasLoad bool
 
 	Own  bool // it comes from the endpoint that the request was sent to
-	Said pace.Said
+	Said pace.Feedback
 }
 
 // Relay is a request whose answer is forwarded as it arrives, without parsing its
