--- a/pace/feedback.go
+++ b/pace/feedback.go
@@ -31,8 +31,8 @@
 // take an endpoint out of use.
 const maxBackoff = 10 * time.Minute
 
-// Believed returns s without out-of-range values, which are added to Bad.
-func (s Feedback) Believed() Feedback {
+// Validated returns s without out-of-range values, which are added to Bad.
+func (s Feedback) Validated() Feedback {
 	if s.Limited {
 		named := s.PerSecond
 		if s.PerSecond, s.Limited = Believable(named); !s.Limited {
--- a/request/permit.go
+++ b/request/permit.go
@@ -66,7 +66,7 @@
 
 // heed records the state that the endpoint advertises about itself in an answer.
 func (r *run) heed(t *Target, h AnswerHead) {
-	now, said := r.Now(), h.Said.Believed()
+	now, said := r.Now(), h.Said.Validated()
 	r.logInvalid(t, said.Bad)
 	told := logrus.Fields{}
 	// An answer without an ID may come from a proxy in front of the endpoint, so that a missing limit means
