--- a/entry/permits.go
+++ b/entry/permits.go
@@ -121,7 +121,7 @@
 		k.markUnresponsive(clock.Now(), owner, t.ID, err)
 		return g, false
 	}
-	if a.Limit.Over(l) {
+	if a.Limit.Supersedes(l) {
 		t.HearLimit(a.Limit)
 		a.Grant.OK = a.Grant.OK || !a.Limit.Named()
 	}
--- a/pace/limit.go
+++ b/pace/limit.go
@@ -45,9 +45,9 @@
 	return Limit{perSecond, l.Turn + 1}, true
 }
 
-// Over reports whether l supersedes x, a limit of the same endpoint: the later change wins, and of
+// Supersedes reports whether l supersedes x, a limit of the same endpoint: the later change wins, and of
 // two concurrent ones the stricter.
-func (l Limit) Over(x Limit) bool {
+func (l Limit) Supersedes(x Limit) bool {
 	if l.Turn != x.Turn {
 		return l.Turn > x.Turn
 	}
--- a/pace/limiter_test.go
+++ b/pace/limiter_test.go
@@ -138,15 +138,15 @@
 	assert.True(t, tell)
 	_, tell = a.Say(2.1)
 	assert.False(t, tell, "nearly the same")
-	assert.True(t, a.Over(b))
+	assert.True(t, a.Supersedes(b))
 	b = a
 	b, tell = b.Say(0)
 	assert.True(t, tell)
 	assert.False(t, b.Named())
-	assert.True(t, b.Over(a), "the limit was withdrawn")
+	assert.True(t, b.Supersedes(a), "the limit was withdrawn")
 	c, _ := a.Say(5)
-	assert.True(t, c.Over(b), "of two concurrent changes the one with a limit")
-	assert.False(t, b.Over(c))
+	assert.True(t, c.Supersedes(b), "of two concurrent changes the one with a limit")
+	assert.False(t, b.Supersedes(c))
 }
 
 func TestInvalidLimitIsRejected(t *testing.T) {
--- a/request/advertised.go
+++ b/request/advertised.go
@@ -77,7 +77,7 @@
 func (t *Target) HearLimit(l pace.Limit) bool {
 	t.advertised.mu.Lock()
 	defer t.advertised.mu.Unlock()
-	if !l.Over(t.advertised.limit) {
+	if !l.Supersedes(t.advertised.limit) {
 		return false
 	}
 	t.advertised.set(l)
--- a/request/endpointstate.go
+++ b/request/endpointstate.go
@@ -20,7 +20,7 @@
 // With merges two states; the result has the Endpoint of x.
 func (w Word) With(x Word) Word {
 	w.Endpoint = x.Endpoint
-	if x.Limit.Over(w.Limit) {
+	if x.Limit.Supersedes(w.Limit) {
 		w.Limit = x.Limit
 	}
 	w.Leaves = w.Leaves || x.Leaves
