--- a/pace/limit.go
+++ b/pace/limit.go
@@ -36,9 +36,9 @@
 	return max(perSecond, minRate), true
 }
 
-// Say returns the limit after an answer that announces a rate, 0 for none, and whether to send it to
+// Update returns the limit after an answer that announces a rate, 0 for none, and whether to send it to
 // other daemons. An endpoint's own answer takes precedence over what other daemons sent.
-func (l Limit) Say(perSecond float64) (next Limit, tell bool) {
+func (l Limit) Update(perSecond float64) (next Limit, tell bool) {
 	if math.Abs(perSecond-l.PerSecond) <= rateTolerance*l.PerSecond && l.Named() == (perSecond > 0) {
 		return Limit{perSecond, l.Turn}, false
 	}
--- a/request/advertised.go
+++ b/request/advertised.go
@@ -68,7 +68,7 @@
 func (t *Target) RecordLimit(perSecond float64) (l pace.Limit, tell bool) {
 	t.advertised.mu.Lock()
 	defer t.advertised.mu.Unlock()
-	l, tell = t.advertised.limit.Say(perSecond)
+	l, tell = t.advertised.limit.Update(perSecond)
 	t.advertised.set(l)
 	return l, tell
 }
