--- a/pace/feedback.go
+++ b/pace/feedback.go
@@ -22,9 +22,9 @@
 
 // The kinds of invalid values.
 const (
-	BadLimit   = "limit"
-	BadLeaving = "word of leaving"
-	BadRest    = "time of rest"
+	BadLimit       = "limit"
+	BadLeaving     = "word of leaving"
+	InvalidBackoff = "time of rest"
 )
 
 // maxBackoff is the longest accepted time without requests: a single wrong figure could otherwise
@@ -41,7 +41,7 @@
 		}
 	}
 	if s.Rest > maxBackoff {
-		s.Bad = append(s.Bad, Bad{BadRest, s.Rest.String()})
+		s.Bad = append(s.Bad, Bad{InvalidBackoff, s.Rest.String()})
 		s.Rest = 0
 	}
 	return s
