--- a/pace/feedback.go
+++ b/pace/feedback.go
@@ -13,7 +13,7 @@
 	Limited   bool          // the answer announces a rate limit
 	Unclear   bool          // the announced limit is not a number
 	Leaves    bool          // it is shutting down
-	Rest      time.Duration // how long the daemon must not send it requests; 0 for not at all
+	Backoff   time.Duration // how long the daemon must not send it requests; 0 for not at all
 	Bad       []Bad         // announced values that are invalid
 }
 
@@ -40,9 +40,9 @@
 			s.Bad = append(s.Bad, Bad{BadLimit, strconv.FormatFloat(named, 'g', -1, 64)})
 		}
 	}
-	if s.Rest > maxBackoff {
-		s.Bad = append(s.Bad, Bad{InvalidBackoff, s.Rest.String()})
-		s.Rest = 0
+	if s.Backoff > maxBackoff {
+		s.Bad = append(s.Bad, Bad{InvalidBackoff, s.Backoff.String()})
+		s.Backoff = 0
 	}
 	return s
 }
--- a/request/permit.go
+++ b/request/permit.go
@@ -79,8 +79,8 @@
 	if said.Leaves && t.RecordLeaving(now, r.opts.Drain) {
 		told["leaves"], told["left_ms"] = true, r.opts.Drain.Milliseconds()
 	}
-	if said.Rest > 0 && t.RecordBackoff(now, said.Rest) {
-		told["rest_ms"] = said.Rest.Milliseconds()
+	if said.Backoff > 0 && t.RecordBackoff(now, said.Backoff) {
+		told["rest_ms"] = said.Backoff.Milliseconds()
 	}
 	if len(told) == 0 {
 		return
