--- a/clock/clock.go
+++ b/clock/clock.go
@@ -9,9 +9,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// Slept returns how long the box has been suspended since it booted. Tests replace it before they
+// Suspended returns how long the box has been suspended since it booted. Tests replace it before they
 // start the code under test.
-var Slept = measureSuspension
+var Suspended = measureSuspension
 
 // measureSuspension compares the clock that includes suspensions with the one that Go's timers use.
 // It returns 0 where the clocks cannot be read.
@@ -43,7 +43,7 @@
 // system calls, so Now does not call it: call it after a wait and before checking the age of
 // something.
 func Look() time.Duration {
-	d := Slept()
+	d := Suspended()
 	suspendedTotal.Store(int64(d))
 	return d
 }
--- a/clock/clock_test.go
+++ b/clock/clock_test.go
@@ -15,17 +15,17 @@
 func TestNowWithoutASuspension(t *testing.T) {
 	before := clock.Look()
 	assert.Less(t, (clock.Look() - before).Abs(), 10*time.Millisecond, "not suspended meanwhile")
-	assert.InDelta(t, clock.Slept().Seconds(), time.Until(clock.Now()).Seconds(), 0.1)
+	assert.InDelta(t, clock.Suspended().Seconds(), time.Until(clock.Now()).Seconds(), 0.1)
 }
 
 // Simulates a suspension, in which one of the two clocks stops.
 func TestSuspensionCounts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		suspended := time.Duration(0)
-		old := clock.Slept
-		clock.Slept = func() time.Duration { return suspended }
+		old := clock.Suspended
+		clock.Suspended = func() time.Duration { return suspended }
 		defer func() {
-			clock.Slept = old
+			clock.Suspended = old
 			clock.Look()
 		}()
 		clock.Look()
--- a/entry/sleep_test.go
+++ b/entry/sleep_test.go
@@ -25,11 +25,11 @@
 	t.Helper()
 	var slept atomic.Int64
 	slept.Store(int64(time.Hour)) // before the daemons started
-	old := clock.Slept
-	clock.Slept = func() time.Duration { return time.Duration(slept.Load()) }
+	old := clock.Suspended
+	clock.Suspended = func() time.Duration { return time.Duration(slept.Load()) }
 	clock.Look()
 	t.Cleanup(func() {
-		clock.Slept = old
+		clock.Suspended = old
 		clock.Look()
 	})
 	inWorldOf(t, daemons, func(w *world) {
