--- a/clock/clock.go
+++ b/clock/clock.go
@@ -39,10 +39,10 @@
 // suspendedTotal is the result of the last Look, in nanoseconds.
 var suspendedTotal atomic.Int64
 
-// Look updates the time that the box was suspended since it booted, and returns it. It takes three
+// Refresh updates the time that the box was suspended since it booted, and returns it. It takes three
 // system calls, so Now does not call it: call it after a wait and before checking the age of
 // something.
-func Look() time.Duration {
+func Refresh() time.Duration {
 	d := Suspended()
 	suspendedTotal.Store(int64(d))
 	return d
--- a/clock/clock_test.go
+++ b/clock/clock_test.go
@@ -13,8 +13,8 @@
 )
 
 func TestNowWithoutASuspension(t *testing.T) {
-	before := clock.Look()
-	assert.Less(t, (clock.Look() - before).Abs(), 10*time.Millisecond, "not suspended meanwhile")
+	before := clock.Refresh()
+	assert.Less(t, (clock.Refresh() - before).Abs(), 10*time.Millisecond, "not suspended meanwhile")
 	assert.InDelta(t, clock.Suspended().Seconds(), time.Until(clock.Now()).Seconds(), 0.1)
 }
 
@@ -26,15 +26,15 @@
 		clock.Suspended = func() time.Duration { return suspended }
 		defer func() {
 			clock.Suspended = old
-			clock.Look()
+			clock.Refresh()
 		}()
-		clock.Look()
+		clock.Refresh()
 		read := clock.Now()
 		deadline := read.Add(5 * time.Second)
 		time.Sleep(time.Second)
 		assert.Equal(t, time.Second, clock.Since(read))
 		suspended = 10 * time.Second
-		assert.Equal(t, 10*time.Second, clock.Look())
+		assert.Equal(t, 10*time.Second, clock.Refresh())
 		assert.Equal(t, 11*time.Second, clock.Since(read))
 		assert.Equal(t, -6*time.Second, clock.Until(deadline))
 	})
--- a/entry/daemon.go
+++ b/entry/daemon.go
@@ -107,7 +107,7 @@
 	if err != nil {
 		return nil, err
 	}
-	slept := clock.Look() // includes the time before this process started
+	slept := clock.Refresh() // includes the time before this process started
 	d := &Daemon{began: clock.Now(), slept: slept, network: n, without: without, log: log, meters: newMeters(), quotas: NewQuotas(site.First)}
 	d.unknown.log = log
 	d.contact = newContact(d.began)
@@ -154,7 +154,7 @@
 	o.Without = d.without
 	o.Homes = d.many
 	o.Holds = d.holdShare()
-	o.Now, o.Look = clock.Now, func() { clock.Look() }
+	o.Now, o.Look = clock.Now, func() { clock.Refresh() }
 	if d.without.On(mechanism.SentWords) {
 		o.Sent = d.sends.add
 	}
--- a/entry/duties.go
+++ b/entry/duties.go
@@ -86,7 +86,7 @@
 	}
 	var renewed time.Time
 	for ctx.Err() == nil {
-		clock.Look() // the term may have ended while the box was suspended
+		clock.Refresh() // the term may have ended while the box was suspended
 		now := clock.Now()
 		able := x.eligible(now)
 		if !able && x.holds() {
@@ -263,7 +263,7 @@
 func (x *duties) call(ctx context.Context, do func(context.Context, platform.Fence) error) error {
 	x.calls.lock()
 	defer x.calls.unlock()
-	clock.Look() // the box may have been suspended; check again just before the call
+	clock.Refresh() // the box may have been suspended; check again just before the call
 	now := clock.Now()
 	f, until, ok := x.mayCall(now)
 	if !ok {
--- a/entry/ingress.go
+++ b/entry/ingress.go
@@ -57,7 +57,7 @@
 
 // ServeHTTP implements http.Handler.
 func (s *ingress) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	clock.Look()
+	clock.Refresh()
 	now := clock.Now()
 	o := &inboundRequest{call: platform.ReadCall(r.Header)}
 	if s.d.stopping.Load() {
--- a/entry/sleep_test.go
+++ b/entry/sleep_test.go
@@ -27,10 +27,10 @@
 	slept.Store(int64(time.Hour)) // before the daemons started
 	old := clock.Suspended
 	clock.Suspended = func() time.Duration { return time.Duration(slept.Load()) }
-	clock.Look()
+	clock.Refresh()
 	t.Cleanup(func() {
 		clock.Suspended = old
-		clock.Look()
+		clock.Refresh()
 	})
 	inWorldOf(t, daemons, func(w *world) {
 		w.routes = append(w.routes, w.route("/open/", "safe", plain, map[string]any{"attempts": 1, "public": true}))
--- a/entry/suspension.go
+++ b/entry/suspension.go
@@ -17,7 +17,7 @@
 // Ages are right from the next check on; a request does its own check as it arrives, and again before it is
 // sent to an endpoint.
 func (d *Daemon) noteSleep() {
-	total := clock.Look()
+	total := clock.Refresh()
 	slept := total - d.slept
 	d.slept = total
 	if slept < minSuspension {
