--- a/entry/rollouts.go
+++ b/entry/rollouts.go
@@ -52,7 +52,7 @@
 	stageSince time.Time // when this daemon saw the current stage begin
 	withdrawn  bool      // the order was withdrawn; fact may not show it yet
 	bucket     *rollout.Bucket
-	evidence   *rollout.Voices
+	evidence   *rollout.ClampedSPRT
 	finding    rollout.Finding
 	logged     time.Time // when the finding was last logged
 	idleSince  time.Time // since when the old version has had no requests; zero while it has some
@@ -175,7 +175,7 @@
 	cap := k.d.Site().Bounds.Untried
 	v.order, v.writtenBy, v.withdrawn, v.stageSince = o, written, false, now
 	v.fact = rollout.Fact{Number: o.Number, Target: o.Target}
-	v.bucket, v.evidence = &rollout.Bucket{Cap: cap, Lead: k.initialLevel()}, &rollout.Voices{}
+	v.bucket, v.evidence = &rollout.Bucket{Cap: cap, Lead: k.initialLevel()}, &rollout.ClampedSPRT{}
 	v.finding, v.logged, v.idleSince, v.baselines = rollout.Finding{}, time.Time{}, time.Time{}, nil
 	k.d.log.WithFields(logrus.Fields{
 		"part": "rollout", "service": o.Service, "target": o.Target, "order": o.Number, "for_ms": o.For.Milliseconds(),
--- a/rollout/analysis.go
+++ b/rollout/analysis.go
@@ -263,15 +263,15 @@
 	return r
 }
 
-// Voices is an Analyzer: a sequential probability ratio test on each route in which the evidence of
+// ClampedSPRT is an Analyzer: a sequential probability ratio test on each route in which the evidence of
 // each endpoint is bounded. It is bounded below as well, so that a version that turns bad after a
 // good time is found as fast. The zero value is ready.
-type Voices struct {
+type ClampedSPRT struct {
 	routes evidenceByRoute
 }
 
 // Take implements Analyzer.
-func (v *Voices) Take(now time.Time, c Counts) Finding {
+func (v *ClampedSPRT) Take(now time.Time, c Counts) Finding {
 	f := Finding{Opinion: Good}
 	considered, excess, spread := 0, 0.0, 0.0
 	for name, old := range c.Old {
--- a/rollout/rollout_test.go
+++ b/rollout/rollout_test.go
@@ -170,7 +170,7 @@
 // Failures of one endpoint out of three don't condemn the version; failures of all three do.
 func TestFaultOfOneEndpointIsNotTheVersions(t *testing.T) {
 	play := func(bad map[string]int64) rollout.Opinion {
-		var v rollout.Voices
+		var v rollout.ClampedSPRT
 		var f rollout.Finding
 		for i := range int64(20) {
 			c := rollout.Counts{Old: map[string]rollout.Tally{"r": {Whole: 200 * (i + 1)}}, New: map[string]map[string]rollout.Tally{"r": {}}}
@@ -197,7 +197,7 @@
 func TestABadVersionIsFoundThoughNearlyAllItsAnswersComeFromOneEndpoint(t *testing.T) {
 	const bad = 50 // answers by which the version must be found bad
 	for _, first := range []rollout.Tally{{Whole: 1}, {Whole: 2}, {Whole: 2, Bad: 1}, {Whole: 1, Bad: 1}} {
-		var v rollout.Voices
+		var v rollout.ClampedSPRT
 		f := rollout.Finding{}
 		for i := int64(1); i <= bad && f.Opinion != rollout.Bad; i++ {
 			f = v.Take(sinceStart(time.Duration(i)*250*time.Millisecond), rollout.Counts{
--- a/rollout/table_test.go
+++ b/rollout/table_test.go
@@ -29,7 +29,7 @@
 		old:   30, used: 3, length: 12 * time.Second,
 		cap:   rollout.Cap{Share: 0.1, Slack: 50, Back: 5 * time.Second},
 		share: func(r *rand.Rand, c rollout.Cap) rollout.Share { return &rollout.Bucket{Cap: c, Lead: r.Float64()} },
-		test:  func() rollout.Analyzer { return &rollout.Voices{} },
+		test:  func() rollout.Analyzer { return &rollout.ClampedSPRT{} },
 	}
 	switch os.Getenv("WAY") { // the alternatives that the table compares
 	case "pooled":
