--- a/crash/ledger.go
+++ b/crash/ledger.go
@@ -176,9 +176,9 @@
 	}
 }
 
-// Hear merges a verdict of another daemon. It reports whether the verdict is wrong because the
+// Merge merges a verdict of another daemon. It reports whether the verdict is wrong because the
 // request was answered here recently.
-func (l *Ledger) Hear(now time.Time, v Verdict) (wrong bool) {
+func (l *Ledger) Merge(now time.Time, v Verdict) (wrong bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.lazyInit()
--- a/crash/ledger_test.go
+++ b/crash/ledger_test.go
@@ -123,13 +123,13 @@
 	}
 	v, ok := local.Held(start, printOf(0))
 	require.True(t, ok)
-	assert.False(t, remote.Hear(start, v))
+	assert.False(t, remote.Merge(start, v))
 	assert.True(t, held(&remote, start, 0))
 
 	now := start.Add(time.Second)
 	assert.True(t, remote.Answered(now, printOf(0)), "the request was still in flight")
 	assert.False(t, held(&remote, now, 0))
-	assert.True(t, remote.Hear(now, v), "the other still holds it back")
+	assert.True(t, remote.Merge(now, v), "the other still holds it back")
 	local.Clear(now, printOf(0))
 	assert.False(t, held(&local, now, 0))
 	assert.False(t, local.Answered(now, printOf(5)), "not suspected")
@@ -171,8 +171,8 @@
 	}
 	v, _ := l.Held(start, printOf(0))
 	now := start.Add(10 * time.Second)
-	l.Hear(now, v.Tried(now))
-	l.Hear(now, v)
+	l.Merge(now, v.Tried(now))
+	l.Merge(now, v)
 	after, _ := l.Held(now, printOf(0))
 	assert.Equal(t, 1, after.Trials)
 	assert.False(t, after.Due(now.Add(time.Minute)))
@@ -197,10 +197,10 @@
 func TestReceivedVerdictsAreBounded(t *testing.T) {
 	var l crash.Ledger
 	for i := range 64 {
-		l.Hear(start, crash.Verdict{Print: printOf(i), Trials: -5, Until: start.Add(1000 * time.Hour)})
+		l.Merge(start, crash.Verdict{Print: printOf(i), Trials: -5, Until: start.Add(1000 * time.Hour)})
 	}
 	for i := range 64 {
-		l.Hear(start, crash.Verdict{Print: printOf(i), Until: start.Add(time.Hour)})
+		l.Merge(start, crash.Verdict{Print: printOf(i), Until: start.Add(time.Hour)})
 	}
 	assert.Len(t, l.Verdicts(start), 64)
 	assert.Empty(t, l.Verdicts(start.Add(time.Hour)))
@@ -246,7 +246,7 @@
 			assert.GreaterOrEqual(t, ends[i], 3)
 			assert.True(t, answered[i].IsZero() || now.Sub(answered[i]) > 0)
 			v, _ := l.Held(now, printOf(i))
-			other.Hear(now, v)
+			other.Merge(now, v)
 			assert.True(t, held(&other, now, i))
 		}
 	})
--- a/request/holdmessage.go
+++ b/request/holdmessage.go
@@ -77,7 +77,7 @@
 // here, the verdict is cleared everywhere instead.
 func (h *Holds) applyVerdict(now time.Time, from string, v crash.Verdict) {
 	_, known := h.Ledger.Held(now, v.Print)
-	if h.Ledger.Hear(now, v) {
+	if h.Ledger.Merge(now, v) {
 		h.log.WithField("print", v.Print.String()).Infof("request held back by %s was recently answered here: verdict cleared", from)
 		sendMessage(h.share.Tell, holdMessage{Cleared: []crash.Print{v.Print}})
 		h.deleteVerdict(v.Print)
--- a/request/holdrows.go
+++ b/request/holdrows.go
@@ -168,7 +168,7 @@
 		w.Rev = it.Rev
 		var stored crash.Verdict
 		if stored, err = h.decodeVerdict(now, it); err == nil {
-			h.Ledger.Hear(now, stored)
+			h.Ledger.Merge(now, stored)
 			v, _ = h.Ledger.Held(now, v.Print)
 		}
 	}
@@ -180,7 +180,7 @@
 	if err := seam.Put(ctx, h.share.Table, uuid.NewString(), w); err != nil {
 		return false // another daemon runs the trial, or the table is unavailable
 	}
-	h.Ledger.Hear(now, v)
+	h.Ledger.Merge(now, v)
 	sendMessage(h.share.Tell, verdictMessage(now, v))
 	h.log.WithField("print", v.Print.String()).Infof("trial %d of a request that is held back", v.Trials)
 	return true
