--- a/crash/ledger_test.go
+++ b/crash/ledger_test.go
@@ -152,12 +152,12 @@
 			v, _ := l.Held(now, printOf(0))
 			assert.False(t, v.Due(now.Add(tc.due-time.Millisecond)))
 			assert.True(t, v.Due(now.Add(tc.due)))
-			assert.Equal(t, now.Add(tc.due), v.Back())
+			assert.Equal(t, now.Add(tc.due), v.RetryAt())
 			tried := v.Tried(now.Add(tc.due))
 			assert.False(t, tried.Due(now.Add(tc.due+9*time.Minute)), "the cause is certain")
 			again := tried.Tried(now.Add(30 * time.Minute))
 			assert.False(t, again.Due(now.Add(59*time.Minute)))
-			assert.Equal(t, v.Until, again.Back())
+			assert.Equal(t, v.Until, again.RetryAt())
 		})
 	}
 }
--- a/crash/verdict.go
+++ b/crash/verdict.go
@@ -52,8 +52,8 @@
 	return v
 }
 
-// Back returns when a caller may retry the request.
-func (v Verdict) Back() time.Time {
+// RetryAt returns when a caller may retry the request.
+func (v Verdict) RetryAt() time.Time {
 	if v.Trials < maxTrials && v.Next.Before(v.Until) {
 		return v.Next
 	}
--- a/request/holds.go
+++ b/request/holds.go
@@ -101,5 +101,5 @@
 		r.holdTrial = true
 		return nil
 	}
-	return code.New(code.CrashesEndpoints, "%d endpoints have crashed while running it", v.Ends).After(max(v.Back().Sub(now), minTrialRetryAfter))
+	return code.New(code.CrashesEndpoints, "%d endpoints have crashed while running it", v.Ends).After(max(v.RetryAt().Sub(now), minTrialRetryAfter))
 }
