--- a/entry/rolloutduty.go
+++ b/entry/rolloutduty.go
@@ -114,8 +114,8 @@
 	return found
 }
 
-func (r rolloutRow) fact() rollout.Fact {
-	return rollout.Fact{Number: r.Number, Target: r.Target, Stage: r.Stage, Why: r.Why}
+func (r rolloutRow) fact() rollout.OrderState {
+	return rollout.OrderState{Number: r.Number, Target: r.Target, Stage: r.Stage, Why: r.Why}
 }
 
 func (x *rolloutDuty) read(ctx context.Context, service string) (h storedRollout, err error) {
@@ -201,7 +201,7 @@
 
 // state returns the input for the lease holder's decision on a service's order. The order names one
 // version, also if the service has several own versions.
-func (k *rolloutController) state(now time.Time, service string) (s rollout.State, f rollout.Fact, own []string, ok bool) {
+func (k *rolloutController) state(now time.Time, service string) (s rollout.State, f rollout.OrderState, own []string, ok bool) {
 	c := k.d.catalog.get()
 	if c == nil || !c.Names(service) {
 		return s, f, nil, false
@@ -240,7 +240,7 @@
 }
 
 // applyDecision applies a stage that this daemon has written as the lease holder, and broadcasts it.
-func (k *rolloutController) applyDecision(now time.Time, service string, f rollout.Fact) {
+func (k *rolloutController) applyDecision(now time.Time, service string, f rollout.OrderState) {
 	k.mu.Lock()
 	v := k.lookup(service)
 	fresh := k.advance(now, service, v, f)
--- a/entry/rolloutorders.go
+++ b/entry/rolloutorders.go
@@ -32,7 +32,7 @@
 			k.d.meters.refused(codeOf(err))
 			continue
 		}
-		k.applyOrder(now, now, o, rollout.Fact{})
+		k.applyOrder(now, now, o, rollout.OrderState{})
 	}
 	if !whole {
 		return
--- a/entry/rolloutreports.go
+++ b/entry/rolloutreports.go
@@ -13,10 +13,10 @@
 
 // orderWord is the report of an order that daemons exchange.
 type orderWord struct {
-	Order rollout.Order `codec:"o"`
-	Age   time.Duration `codec:"a"` // lower bound on the time since it was written
-	Fact  rollout.Fact  `codec:"f"`
-	Own   []string      `codec:"w,omitempty"` // the service's own versions before the order
+	Order rollout.Order      `codec:"o"`
+	Age   time.Duration      `codec:"a"` // lower bound on the time since it was written
+	Fact  rollout.OrderState `codec:"f"`
+	Own   []string           `codec:"w,omitempty"` // the service's own versions before the order
 }
 
 // endedReportTime is how long daemons repeat the report of an ended order. A daemon counts as reached 4 s
@@ -52,7 +52,7 @@
 }
 
 // broadcast sends the progress of an order to all daemons.
-func (k *rolloutController) broadcast(service string, o rollout.Order, heard time.Time, f rollout.Fact) {
+func (k *rolloutController) broadcast(service string, o rollout.Order, heard time.Time, f rollout.OrderState) {
 	o.Service = service
 	k.d.Hub.Tell(conn.Payload{Orders: conn.Marshal([]orderWord{{Order: o, Age: clock.Now().Sub(heard), Fact: f}})})
 }
--- a/entry/rollouts.go
+++ b/entry/rollouts.go
@@ -48,7 +48,7 @@
 	own        []string // found among the endpoints, or set by a completed order; nil while unknown
 	order      rollout.Order
 	writtenBy  time.Time // upper bound on when the order was written
-	fact       rollout.Fact
+	fact       rollout.OrderState
 	stageSince time.Time // when this daemon saw the current stage begin
 	withdrawn  bool      // the order was withdrawn; fact may not show it yet
 	bucket     *rollout.Bucket
@@ -67,7 +67,7 @@
 func (v *serviceVersions) running() bool { return v.order.Number != 0 && !v.fact.Stage.Ended() }
 
 func (v *serviceVersions) standing() rollout.Standing {
-	return rollout.Standing{Own: v.own, Fact: v.fact, Order: v.order.Number != 0}
+	return rollout.Standing{Own: v.own, OrderState: v.fact, Order: v.order.Number != 0}
 }
 
 func (v *serviceVersions) span() rollout.Span {
@@ -155,7 +155,7 @@
 
 // applyOrder applies an order that was written no later than the given time, with its progress as known
 // to the sender.
-func (k *rolloutController) applyOrder(now, written time.Time, o rollout.Order, fact rollout.Fact) {
+func (k *rolloutController) applyOrder(now, written time.Time, o rollout.Order, fact rollout.OrderState) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	v := k.lookup(o.Service)
@@ -174,7 +174,7 @@
 	}
 	cap := k.d.Site().Bounds.Untried
 	v.order, v.writtenBy, v.withdrawn, v.stageSince = o, written, false, now
-	v.fact = rollout.Fact{Number: o.Number, Target: o.Target}
+	v.fact = rollout.OrderState{Number: o.Number, Target: o.Target}
 	v.bucket, v.evidence = &rollout.Bucket{Cap: cap, Lead: k.initialLevel()}, &rollout.ClampedSPRT{}
 	v.finding, v.logged, v.idleSince, v.baselines = rollout.Finding{}, time.Time{}, time.Time{}, nil
 	k.d.log.WithFields(logrus.Fields{
@@ -192,14 +192,14 @@
 }
 
 // applyFact applies the progress of an order, and reports whether the stage changed.
-func (k *rolloutController) applyFact(now time.Time, service string, f rollout.Fact) bool {
+func (k *rolloutController) applyFact(now time.Time, service string, f rollout.OrderState) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.advance(now, service, k.lookup(service), f)
 }
 
 // advance merges a fact and applies a change of stage. The caller holds the lock.
-func (k *rolloutController) advance(now time.Time, service string, v *serviceVersions, f rollout.Fact) bool {
+func (k *rolloutController) advance(now time.Time, service string, v *serviceVersions, f rollout.OrderState) bool {
 	next := v.fact.Merge(f)
 	if f.Number != v.order.Number || next.Stage == v.fact.Stage {
 		return false
--- a/rollout/order.go
+++ b/rollout/order.go
@@ -67,9 +67,9 @@
 	return f.Event(context.Background(), eventTo[to]) == nil
 }
 
-// Fact is what a daemon knows of an order. Facts converge on all daemons, in whichever order they
+// OrderState is what a daemon knows of an order. Facts converge on all daemons, in whichever order they
 // arrive.
-type Fact struct {
+type OrderState struct {
 	Number int64  `codec:"n"`
 	Target string `codec:"v"`
 	Stage  Stage  `codec:"t"`
@@ -77,7 +77,7 @@
 }
 
 // Merge returns the newer of two facts about a service's orders.
-func (f Fact) Merge(x Fact) Fact {
+func (f OrderState) Merge(x OrderState) OrderState {
 	if x.Number > f.Number || x.Number == f.Number && x.Stage > f.Stage {
 		return x
 	}
--- a/rollout/role.go
+++ b/rollout/role.go
@@ -24,9 +24,9 @@
 // Standing says which versions of a service may run requests. In the zero value, without an order,
 // any version may.
 type Standing struct {
-	Own   []string // current versions without an order; nil if unknown
-	Fact           // state of the newest order
-	Order bool     // there is an order
+	Own        []string // current versions without an order; nil if unknown
+	OrderState          // state of the newest order
+	Order      bool     // there is an order
 }
 
 // RoleOf returns the role of a version. While the stage of an order is unknown its target version
--- a/rollout/rollout_test.go
+++ b/rollout/rollout_test.go
@@ -19,7 +19,7 @@
 func TestWhichVersionsMayRunRequests(t *testing.T) {
 	own := []string{"v1"}
 	at := func(s rollout.Stage) rollout.Standing {
-		return rollout.Standing{Own: own, Order: true, Fact: rollout.Fact{Number: 7, Target: "v2", Stage: s}}
+		return rollout.Standing{Own: own, Order: true, OrderState: rollout.OrderState{Number: 7, Target: "v2", Stage: s}}
 	}
 	for _, tc := range []struct {
 		name     string
@@ -60,8 +60,8 @@
 	assert.False(t, rollout.Allowed(rollout.Shifting, rollout.Watching))
 }
 
-func drawFact(t *rapid.T, name string) rollout.Fact {
-	return rollout.Fact{
+func drawFact(t *rapid.T, name string) rollout.OrderState {
+	return rollout.OrderState{
 		Number: rapid.Int64Range(1, 3).Draw(t, name+" number"), Target: "v2",
 		Stage: rapid.SampledFrom(allStages).Draw(t, name+" stage"),
 	}
