--- a/entry/meters.go
+++ b/entry/meters.go
@@ -72,7 +72,7 @@
 // trialAnswer counts an answer during a roll-out; side is "old" or "new".
 func (m *meters) trialAnswer(service, side string, t rollout.Tally) {
 	name := "rollout." + service + "." + side
-	metrics.GetOrRegisterCounter(name+".answers", m.registry).Inc(t.Whole)
+	metrics.GetOrRegisterCounter(name+".answers", m.registry).Inc(t.Total)
 	metrics.GetOrRegisterCounter(name+".bad", m.registry).Inc(t.Bad)
 }
 
--- a/entry/rollouts.go
+++ b/entry/rollouts.go
@@ -141,7 +141,7 @@
 	}
 	isNew := a.Version == v.order.Target
 	slow := v.slow(a, isNew)
-	t := rollout.Tally{Whole: 1}
+	t := rollout.Tally{Total: 1}
 	if a.Failed || a.Silent || slow {
 		t.Bad = 1
 	}
--- a/entry/tallytrial_test.go
+++ b/entry/tallytrial_test.go
@@ -14,8 +14,8 @@
 // What one daemon counts of an order the others know, whole or by changes, until it is forgotten.
 func TestAnswersOfVersionsAreCountedOverDaemons(t *testing.T) {
 	a, b := tallies("a", 1000), tallies("b", 1000)
-	one := rollout.Tally{Whole: 1}
-	bad := rollout.Tally{Whole: 1, Bad: 1}
+	one := rollout.Tally{Total: 1}
+	bad := rollout.Tally{Total: 1, Bad: 1}
 	a.Try(41, "r/x", "", one)
 	a.Try(41, "r/x", "i-1", bad)
 	b.Try(41, "r/x", "i-1", one)
@@ -29,7 +29,7 @@
 
 	c := b.Trials(41)
 	assert.Len(t, c.Old, 1)
-	assert.Equal(t, map[string]rollout.Tally{"i-1": {Whole: 2, Bad: 1}, "i-2": {Whole: 1}}, c.New["r%x"])
+	assert.Equal(t, map[string]rollout.Tally{"i-1": {Total: 2, Bad: 1}, "i-2": {Total: 1}}, c.New["r%x"])
 	b.DropTrials([]int64{4})
 	assert.Empty(t, b.Trials(41).New)
 	assert.Len(t, b.Trials(4).New, 1)
--- a/rollout/analysis.go
+++ b/rollout/analysis.go
@@ -10,15 +10,15 @@
 
 // Tally counts answers of a version. Its counts never decrease.
 type Tally struct {
-	Whole int64 `codec:"n"` // answers that count for the analysis, good and bad
+	Total int64 `codec:"n"` // answers that count for the analysis, good and bad
 	Bad   int64 `codec:"b"` // those that failed or were several times slower than usual
 }
 
 // Add returns the sum of two tallies.
-func (t Tally) Add(x Tally) Tally { return Tally{t.Whole + x.Whole, t.Bad + x.Bad} }
+func (t Tally) Add(x Tally) Tally { return Tally{t.Total + x.Total, t.Bad + x.Bad} }
 
 // Sub returns the counts since an earlier tally.
-func (t Tally) Sub(x Tally) Tally { return Tally{t.Whole - x.Whole, t.Bad - x.Bad} }
+func (t Tally) Sub(x Tally) Tally { return Tally{t.Total - x.Total, t.Bad - x.Bad} }
 
 // Counts holds the answers of a service's two versions since the order began, over all daemons.
 type Counts struct {
@@ -103,7 +103,7 @@
 
 // smoothedRate is the rate of bad answers with a prior of so many answers, of which some are bad.
 func smoothedRate(t Tally, whole, bad float64) float64 {
-	return (float64(t.Bad) + bad) / (float64(t.Whole) + whole)
+	return (float64(t.Bad) + bad) / (float64(t.Total) + whole)
 }
 
 // badRate returns the rate of bad answers from which on a version is bad if the old one has the rate
@@ -115,7 +115,7 @@
 // logLikelihoodRatio returns the log-likelihood ratio of a tally for the rate q of bad answers
 // against the rate p.
 func logLikelihoodRatio(t Tally, p, q float64) float64 {
-	good := float64(t.Whole - t.Bad)
+	good := float64(t.Total - t.Bad)
 	return float64(t.Bad)*math.Log(q/p) + good*math.Log((1-q)/(1-p))
 }
 
@@ -179,15 +179,15 @@
 	p, q := r.rate, badRate(r.rate)
 	for e, t := range endpoints {
 		added := t.Sub(r.counts[e])
-		if added.Whole <= 0 {
+		if added.Total <= 0 {
 			continue
 		}
 		r.counts[e] = t
 		w := logLikelihoodRatio(added, p, q)
 		r.evidence = math.Max(r.evidence+w, -goodEvidenceCap*goodThreshold)
 		r.byEndpoint[e] = math.Max(-maxEndpointEvidence, math.Min(maxEndpointEvidence, r.byEndpoint[e]+w))
-		r.excess[e] += float64(added.Bad) - p*float64(added.Whole)
-		r.variance += p * (1 - p) * float64(added.Whole)
+		r.excess[e] += float64(added.Bad) - p*float64(added.Total)
+		r.variance += p * (1 - p) * float64(added.Total)
 	}
 }
 
@@ -236,7 +236,7 @@
 		}
 	}
 	t := r.counts[endpoint]
-	q := math.Max(badRate(r.rate), math.Min(maxRate, float64(t.Bad)/float64(t.Whole)))
+	q := math.Max(badRate(r.rate), math.Min(maxRate, float64(t.Bad)/float64(t.Total)))
 	return logLikelihoodRatio(others, r.rate, q) <= -goodThreshold
 }
 
@@ -280,7 +280,7 @@
 		switch {
 		case r.bad():
 			return Finding{Bad, name, r.summary()}
-		case old.Whole < minRouteAnswers:
+		case old.Total < minRouteAnswers:
 			continue
 		case !r.good():
 			f = Finding{Undecided, name, r.summary()}
@@ -305,7 +305,7 @@
 	old := r.old.totals[len(r.old.totals)-1]
 	evidence, needed := r.evidenceAgainst()
 	return fmt.Sprintf("%d of %d bad at %d new endpoints, %d of %d at the old, evidence %.1f of %.1f, for it %.1f of %.1f",
-		sum.Bad, sum.Whole, len(r.counts), old.Bad, old.Whole, evidence, needed, -r.evidence, goodThreshold)
+		sum.Bad, sum.Total, len(r.counts), old.Bad, old.Total, evidence, needed, -r.evidence, goodThreshold)
 }
 
 // PooledSPRT is an Analyzer: a sequential probability ratio test of all answers of a route together,
@@ -323,7 +323,7 @@
 		if r.evidence >= badThreshold {
 			return Finding{Bad, name, r.summary()}
 		}
-		if old.Whole >= minRouteAnswers && r.evidence > -goodThreshold {
+		if old.Total >= minRouteAnswers && r.evidence > -goodThreshold {
 			f = Finding{Undecided, name, r.summary()}
 		}
 	}
--- a/rollout/rollout_test.go
+++ b/rollout/rollout_test.go
@@ -173,9 +173,9 @@
 		var v rollout.ClampedSPRT
 		var f rollout.Finding
 		for i := range int64(20) {
-			c := rollout.Counts{Old: map[string]rollout.Tally{"r": {Whole: 200 * (i + 1)}}, New: map[string]map[string]rollout.Tally{"r": {}}}
+			c := rollout.Counts{Old: map[string]rollout.Tally{"r": {Total: 200 * (i + 1)}}, New: map[string]map[string]rollout.Tally{"r": {}}}
 			for e, n := range bad {
-				c.New["r"][e] = rollout.Tally{Whole: 5 * (i + 1), Bad: n * (i + 1)}
+				c.New["r"][e] = rollout.Tally{Total: 5 * (i + 1), Bad: n * (i + 1)}
 			}
 			if f = v.Take(sinceStart(time.Duration(i)*250*time.Millisecond), c); f.Opinion == rollout.Bad {
 				break
@@ -196,13 +196,13 @@
 // the 7 that two endpoints need.
 func TestABadVersionIsFoundThoughNearlyAllItsAnswersComeFromOneEndpoint(t *testing.T) {
 	const bad = 50 // answers by which the version must be found bad
-	for _, first := range []rollout.Tally{{Whole: 1}, {Whole: 2}, {Whole: 2, Bad: 1}, {Whole: 1, Bad: 1}} {
+	for _, first := range []rollout.Tally{{Total: 1}, {Total: 2}, {Total: 2, Bad: 1}, {Total: 1, Bad: 1}} {
 		var v rollout.ClampedSPRT
 		f := rollout.Finding{}
 		for i := int64(1); i <= bad && f.Opinion != rollout.Bad; i++ {
 			f = v.Take(sinceStart(time.Duration(i)*250*time.Millisecond), rollout.Counts{
-				Old: map[string]rollout.Tally{"r": {Whole: 20 * i}},
-				New: map[string]map[string]rollout.Tally{"r": {"a": first, "b": {Whole: 2 * i, Bad: i}}},
+				Old: map[string]rollout.Tally{"r": {Total: 20 * i}},
+				New: map[string]map[string]rollout.Tally{"r": {"a": first, "b": {Total: 2 * i, Bad: i}}},
 			})
 		}
 		assert.Equal(t, rollout.Bad, f.Opinion, "a gave %+v: %s", first, f.Reason())
--- a/rollout/sim_test.go
+++ b/rollout/sim_test.go
@@ -259,7 +259,7 @@
 }
 
 func count(c rollout.Counts, x request) {
-	t := rollout.Tally{Whole: 1}
+	t := rollout.Tally{Total: 1}
 	if x.bad {
 		t.Bad = 1
 	}
