--- a/capacity/enough_test.go
+++ b/capacity/enough_test.go
@@ -82,7 +82,7 @@
 }
 
 func TestScaleDownIsDelayed(t *testing.T) {
-	var h capacity.Hold
+	var h capacity.Stabilizer
 	at := time.Unix(1000, 0)
 	have := map[capacity.Kind]int{reclaimable("a"): 5}
 	plan := func(n int) []capacity.Order { return []capacity.Order{{Kind: reclaimable("a"), Count: n}} }
--- a/capacity/stabilizer.go
+++ b/capacity/stabilizer.go
@@ -12,14 +12,14 @@
 	reclaimableDelay = 8 * time.Second
 )
 
-// Hold delays the release of endpoints that may soon be needed again. The zero value is ready.
-type Hold struct {
+// Stabilizer delays the release of endpoints that may soon be needed again. The zero value is ready.
+type Stabilizer struct {
 	fewerSince map[Kind]time.Time // since when fewer are wanted than exist
 }
 
 // Settle returns the plan, but keeps the current number of endpoints of a kind until fewer have been
 // wanted for long enough.
-func (h *Hold) Settle(now time.Time, plan []Order, have map[Kind]int) []Order {
+func (h *Stabilizer) Settle(now time.Time, plan []Order, have map[Kind]int) []Order {
 	if h.fewerSince == nil {
 		h.fewerSince = make(map[Kind]time.Time)
 	}
--- a/entry/scale.go
+++ b/entry/scale.go
@@ -69,7 +69,7 @@
 	initial  map[string]int
 	ordered  map[capacity.Kind]acceptedOrder
 	refusals map[capacity.Kind]refusalBackoff
-	hold     capacity.Hold
+	hold     capacity.Stabilizer
 	live     map[capacity.Kind]int // in the previous step
 	lastPlan string                // the last plan logged
 }
