--- a/crash/bench_test.go
+++ b/crash/bench_test.go
@@ -21,7 +21,7 @@
 // BenchmarkAnswered measures the cost of one complete answer.
 func BenchmarkAnswered(b *testing.B) {
 	var l crash.Ledger
-	prints := make([]crash.Print, 1024)
+	prints := make([]crash.Fingerprint, 1024)
 	for i := range prints {
 		prints[i] = printOf(i)
 	}
--- a/crash/fingerprint.go
+++ b/crash/fingerprint.go
@@ -10,9 +10,9 @@
 	"github.com/pkg/errors"
 )
 
-// Print identifies the content of a request. Requests with the same content have the same Print,
+// Fingerprint identifies the content of a request. Requests with the same content have the same Fingerprint,
 // whichever retry or daemon they come from.
-type Print [16]byte
+type Fingerprint [16]byte
 
 // domain separates this use of the hash from all others.
 const domain = "streambend print 1"
@@ -23,7 +23,7 @@
 // The hash is a cryptographic one, as a team could otherwise forge a collision to have another
 // team's requests held back. It takes 2^64 tries to build two requests with the same Print, and
 // 2^128 to build one that matches another team's.
-func PrintOf(fields ...[]byte) Print {
+func PrintOf(fields ...[]byte) Fingerprint {
 	h := sha256.New()
 	var size [8]byte
 	for _, f := range append([][]byte{[]byte(domain)}, fields...) {
@@ -31,17 +31,17 @@
 		h.Write(size[:])
 		h.Write(f)
 	}
-	return Print(h.Sum(nil)[:16])
+	return Fingerprint(h.Sum(nil)[:16])
 }
 
 // String returns the hexadecimal form, as in logs and table rows.
-func (p Print) String() string { return hex.EncodeToString(p[:]) }
+func (p Fingerprint) String() string { return hex.EncodeToString(p[:]) }
 
 // ParsePrint parses the result of String.
-func ParsePrint(s string) (p Print, err error) {
+func ParsePrint(s string) (p Fingerprint, err error) {
 	b, err := hex.DecodeString(s)
 	if err != nil || len(b) != len(p) {
 		return p, errors.Errorf("crash: invalid request print %q", s)
 	}
-	return Print(b), nil
+	return Fingerprint(b), nil
 }
--- a/crash/ledger.go
+++ b/crash/ledger.go
@@ -36,7 +36,7 @@
 
 // Flight is a request that was in flight at an endpoint.
 type Flight struct {
-	Print Print         `codec:"p"`
+	Print Fingerprint   `codec:"p"`
 	For   time.Duration `codec:"f"` // time since it was sent there
 }
 
@@ -54,7 +54,7 @@
 
 // suspect is a request that was in flight at endpoints when they crashed.
 type suspect struct {
-	print    Print
+	print    Fingerprint
 	lastSeen time.Time // time of the last crash
 	crashes  []*crashRecord
 	inFlight time.Duration // total time in flight at the endpoints that crashed
@@ -77,9 +77,9 @@
 
 	mu       sync.Mutex
 	crashes  map[string]*crashRecord // last crash of each endpoint
-	suspects map[Print]*suspect
-	verdicts map[Print]Verdict
-	answered Recent[Print]
+	suspects map[Fingerprint]*suspect
+	verdicts map[Fingerprint]Verdict
+	answered Recent[Fingerprint]
 }
 
 // lazyInit makes the zero value usable. The caller holds the lock.
@@ -87,8 +87,8 @@
 	if l.suspects != nil {
 		return
 	}
-	l.crashes, l.suspects, l.verdicts = make(map[string]*crashRecord), make(map[Print]*suspect), make(map[Print]Verdict)
-	l.answered = Recent[Print]{Period: answeredTTL, Most: maxAnswered}
+	l.crashes, l.suspects, l.verdicts = make(map[string]*crashRecord), make(map[Fingerprint]*suspect), make(map[Fingerprint]Verdict)
+	l.answered = Recent[Fingerprint]{Period: answeredTTL, Most: maxAnswered}
 }
 
 // Ended records the crash of an endpoint and returns the new verdicts.
@@ -195,7 +195,7 @@
 // Answered records a complete answer to a request, which shows that it doesn't crash endpoints. It
 // reports whether other daemons should be told, because the request is held back or one crash short
 // of it.
-func (l *Ledger) Answered(now time.Time, p Print) (notify bool) {
+func (l *Ledger) Answered(now time.Time, p Fingerprint) (notify bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.lazyInit()
@@ -206,14 +206,14 @@
 }
 
 // Clear records that a request was answered at another daemon.
-func (l *Ledger) Clear(now time.Time, p Print) {
+func (l *Ledger) Clear(now time.Time, p Fingerprint) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.lazyInit()
 	l.clear(now, p)
 }
 
-func (l *Ledger) clear(now time.Time, p Print) {
+func (l *Ledger) clear(now time.Time, p Fingerprint) {
 	delete(l.suspects, p)
 	delete(l.verdicts, p)
 	l.verdictCount.Store(int32(len(l.verdicts)))
@@ -221,7 +221,7 @@
 }
 
 // Held returns the verdict on a request, and whether it is held back.
-func (l *Ledger) Held(now time.Time, p Print) (v Verdict, held bool) {
+func (l *Ledger) Held(now time.Time, p Fingerprint) (v Verdict, held bool) {
 	if l.verdictCount.Load() == 0 {
 		return Verdict{}, false
 	}
@@ -233,7 +233,7 @@
 
 // Suspected returns the number of crashes that a request was in flight for and that no other request
 // is known to have caused.
-func (l *Ledger) Suspected(p Print) int {
+func (l *Ledger) Suspected(p Fingerprint) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	s := l.suspects[p]
@@ -266,7 +266,7 @@
 // lock.
 func (l *Ledger) evict(now time.Time) {
 	maps.DeleteFunc(l.crashes, func(_ string, e *crashRecord) bool { return now.Sub(e.at) >= dedupWindow })
-	maps.DeleteFunc(l.suspects, func(_ Print, s *suspect) bool { return now.Sub(s.lastSeen) >= suspectTTL })
+	maps.DeleteFunc(l.suspects, func(_ Fingerprint, s *suspect) bool { return now.Sub(s.lastSeen) >= suspectTTL })
 	if len(l.suspects) <= maxSuspects {
 		return
 	}
--- a/crash/ledger_test.go
+++ b/crash/ledger_test.go
@@ -16,7 +16,7 @@
 
 var start = time.Unix(1_000_000, 0)
 
-func printOf(i int) crash.Print { return crash.PrintOf([]byte(fmt.Sprint("request ", i))) }
+func printOf(i int) crash.Fingerprint { return crash.PrintOf([]byte(fmt.Sprint("request ", i))) }
 
 // end returns the crash of an endpoint with the requests of these numbers in flight.
 func end(endpoint int, requests ...int) crash.End {
@@ -34,7 +34,7 @@
 
 func TestFieldBoundariesChangeThePrint(t *testing.T) {
 	ab := crash.PrintOf([]byte("a"), []byte("b"))
-	for _, other := range []crash.Print{
+	for _, other := range []crash.Fingerprint{
 		crash.PrintOf([]byte("ab")), crash.PrintOf([]byte("ab"), nil), crash.PrintOf(nil, []byte("ab")), crash.PrintOf([]byte("a\x00b")),
 	} {
 		assert.NotEqual(t, ab, other)
--- a/crash/verdict.go
+++ b/crash/verdict.go
@@ -25,7 +25,7 @@
 
 // Verdict is the state of a request that is held back.
 type Verdict struct {
-	Print  Print
+	Print  Fingerprint
 	Ends   int       // endpoint crashes that it was in flight for
 	Trials int       // times that it was tried again since
 	Next   time.Time // earliest time of the next trial
@@ -33,7 +33,7 @@
 }
 
 // newVerdict returns the verdict on a request after some crashes within span.
-func newVerdict(now time.Time, p Print, ends int, span time.Duration) Verdict {
+func newVerdict(now time.Time, p Fingerprint, ends int, span time.Duration) Verdict {
 	pause := certainRetryDelay
 	if span < simultaneousWindow {
 		pause = uncertainRetryDelay
--- a/request/holdmessage.go
+++ b/request/holdmessage.go
@@ -11,19 +11,19 @@
 
 // holdMessage is the message that daemons exchange about requests that crash endpoints.
 type holdMessage struct {
-	End      *crash.End    `codec:"e,omitempty"`
-	Verdicts []wireVerdict `codec:"v,omitempty"`
-	Cleared  []crash.Print `codec:"c,omitempty"`
+	End      *crash.End          `codec:"e,omitempty"`
+	Verdicts []wireVerdict       `codec:"v,omitempty"`
+	Cleared  []crash.Fingerprint `codec:"c,omitempty"`
 }
 
 // wireVerdict is a verdict as encoded on a link. Times are relative to the present, as the
 // boxes' clocks differ.
 type wireVerdict struct {
-	Print  crash.Print   `codec:"p"`
-	Ends   int           `codec:"n"`
-	Trials int           `codec:"t,omitempty"`
-	Next   time.Duration `codec:"a"`
-	Left   time.Duration `codec:"l"`
+	Print  crash.Fingerprint `codec:"p"`
+	Ends   int               `codec:"n"`
+	Trials int               `codec:"t,omitempty"`
+	Next   time.Duration     `codec:"a"`
+	Left   time.Duration     `codec:"l"`
 }
 
 // verdictMessage returns the message for verdicts.
@@ -79,7 +79,7 @@
 	_, known := h.Ledger.Held(now, v.Print)
 	if h.Ledger.Merge(now, v) {
 		h.log.WithField("print", v.Print.String()).Infof("request held back by %s was recently answered here: verdict cleared", from)
-		sendMessage(h.share.Tell, holdMessage{Cleared: []crash.Print{v.Print}})
+		sendMessage(h.share.Tell, holdMessage{Cleared: []crash.Fingerprint{v.Print}})
 		h.deleteVerdict(v.Print)
 		return
 	}
--- a/request/holdrows.go
+++ b/request/holdrows.go
@@ -65,7 +65,7 @@
 	return crash.Verdict{Print: p, Ends: w.Ends, Trials: w.Trials, Next: at(w.Next), Until: at(w.Until)}, nil
 }
 
-func holdKey(p crash.Print) seam.Key { return seam.Key{Part: holdPartition, Sort: p.String()} }
+func holdKey(p crash.Fingerprint) seam.Key { return seam.Key{Part: holdPartition, Sort: p.String()} }
 
 // Load applies the verdicts stored in the table and sends them to the neighbours. It reports
 // whether the table could be read. Expired verdicts are deleted.
@@ -111,7 +111,7 @@
 }
 
 // deleteVerdict deletes a verdict from the table, unless the request is held back again.
-func (h *Holds) deleteVerdict(p crash.Print) {
+func (h *Holds) deleteVerdict(p crash.Fingerprint) {
 	h.retryInBackground(func(ctx context.Context, now time.Time) error {
 		if _, held := h.Ledger.Held(now, p); held {
 			return nil
--- a/request/holds.go
+++ b/request/holds.go
@@ -66,13 +66,13 @@
 }
 
 // recordSuccess records that a request was answered successfully, and clears suspicion of it everywhere.
-func (h *Holds) recordSuccess(now time.Time, p crash.Print) {
+func (h *Holds) recordSuccess(now time.Time, p crash.Fingerprint) {
 	_, held := h.Ledger.Held(now, p)
 	if !h.Ledger.Answered(now, p) {
 		return
 	}
 	h.log.WithField("print", p.String()).Info("request answered: it is no longer suspected of crashing endpoints")
-	sendMessage(h.share.Tell, holdMessage{Cleared: []crash.Print{p}})
+	sendMessage(h.share.Tell, holdMessage{Cleared: []crash.Fingerprint{p}})
 	if held {
 		h.deleteVerdict(p)
 	}
--- a/request/print.go
+++ b/request/print.go
@@ -6,7 +6,7 @@
 
 // Print returns a fingerprint of the request's content. It is the same when the
 // caller retries, at any daemon.
-func (r *Request) Print() crash.Print {
+func (r *Request) Print() crash.Fingerprint {
 	host := ""
 	if r.Relay != nil {
 		host = r.Relay.Host
--- a/request/print_test.go
+++ b/request/print_test.go
@@ -14,7 +14,7 @@
 // The fingerprint of a request covers its content and its team, but nothing that differs between a
 // caller's retries.
 func TestFingerprintCoversContentAndTeam(t *testing.T) {
-	ask := func(change func(r *request.Request)) crash.Print {
+	ask := func(change func(r *request.Request)) crash.Fingerprint {
 		r := &request.Request{ID: "id-1", Team: "team", Method: "POST", Path: "/p/?q=1", Body: []byte("body"), Relay: &request.Relay{Host: "host"}}
 		change(r)
 		return r.Print()
--- a/request/server.go
+++ b/request/server.go
@@ -204,7 +204,7 @@
 	life *Life
 	work *Work
 
-	print     crash.Print
+	print     crash.Fingerprint
 	holdTrial bool // the request is held back, and this is its trial
 	succeeded bool // the last attempt returned a complete and successful answer
 
