--- a/crash/bench_test.go
+++ b/crash/bench_test.go
@@ -14,7 +14,7 @@
 	body := make([]byte, 16<<10)
 	b.SetBytes(int64(len(body)))
 	for b.Loop() {
-		crash.PrintOf([]byte("team"), []byte("host"), []byte("POST"), []byte("/path/x"), body)
+		crash.FingerprintOf([]byte("team"), []byte("host"), []byte("POST"), []byte("/path/x"), body)
 	}
 }
 
--- a/crash/ledger_test.go
+++ b/crash/ledger_test.go
@@ -16,7 +16,7 @@
 
 var start = time.Unix(1_000_000, 0)
 
-func printOf(i int) crash.Fingerprint { return crash.PrintOf([]byte(fmt.Sprint("request ", i))) }
+func printOf(i int) crash.Fingerprint { return crash.FingerprintOf([]byte(fmt.Sprint("request ", i))) }
 
 // end returns the crash of an endpoint with the requests of these numbers in flight.
 func end(endpoint int, requests ...int) crash.End {
@@ -33,9 +33,9 @@
 }
 
 func TestFieldBoundariesChangeThePrint(t *testing.T) {
-	ab := crash.PrintOf([]byte("a"), []byte("b"))
+	ab := crash.FingerprintOf([]byte("a"), []byte("b"))
 	for _, other := range []crash.Fingerprint{
-		crash.PrintOf([]byte("ab")), crash.PrintOf([]byte("ab"), nil), crash.PrintOf(nil, []byte("ab")), crash.PrintOf([]byte("a\x00b")),
+		crash.FingerprintOf([]byte("ab")), crash.FingerprintOf([]byte("ab"), nil), crash.FingerprintOf(nil, []byte("ab")), crash.FingerprintOf([]byte("a\x00b")),
 	} {
 		assert.NotEqual(t, ab, other)
 	}
--- a/request/print.go
+++ b/request/print.go
@@ -11,5 +11,5 @@
 	if r.Relay != nil {
 		host = r.Relay.Host
 	}
-	return crash.PrintOf([]byte(r.Partner), []byte(r.Team), []byte(host), []byte(r.Method), []byte(r.Path), r.Body)
+	return crash.FingerprintOf([]byte(r.Partner), []byte(r.Team), []byte(host), []byte(r.Method), []byte(r.Path), r.Body)
 }
