--- a/crash/fingerprint.go
+++ b/crash/fingerprint.go
@@ -37,8 +37,8 @@
 // String returns the hexadecimal form, as in logs and table rows.
 func (p Fingerprint) String() string { return hex.EncodeToString(p[:]) }
 
-// ParsePrint parses the result of String.
-func ParsePrint(s string) (p Fingerprint, err error) {
+// ParseFingerprint parses the result of String.
+func ParseFingerprint(s string) (p Fingerprint, err error) {
 	b, err := hex.DecodeString(s)
 	if err != nil || len(b) != len(p) {
 		return p, errors.Errorf("crash: invalid request print %q", s)
--- a/crash/ledger_test.go
+++ b/crash/ledger_test.go
@@ -39,11 +39,11 @@
 	} {
 		assert.NotEqual(t, ab, other)
 	}
-	back, err := crash.ParsePrint(ab.String())
+	back, err := crash.ParseFingerprint(ab.String())
 	require.NoError(t, err)
 	assert.Equal(t, ab, back)
 	for _, bad := range []string{"", "ab", "zz", ab.String() + "00"} {
-		_, err := crash.ParsePrint(bad)
+		_, err := crash.ParseFingerprint(bad)
 		assert.Error(t, err, bad)
 	}
 }
--- a/request/holdrows.go
+++ b/request/holdrows.go
@@ -52,7 +52,7 @@
 
 // decodeVerdict decodes a verdict encoded by encodeVerdict.
 func (h *Holds) decodeVerdict(now time.Time, it seam.Item) (crash.Verdict, error) {
-	p, err := crash.ParsePrint(it.Key.Sort)
+	p, err := crash.ParseFingerprint(it.Key.Sort)
 	if err != nil {
 		return crash.Verdict{}, err
 	}
