--- a/capacity/enough.go
+++ b/capacity/enough.go
@@ -39,8 +39,8 @@
 	Target time.Duration // shortest target of the service's routes; 0 if there is none
 }
 
-// Enough returns the number of endpoints that serve a load within its target.
-func Enough(l Load) int {
+// RequiredEndpoints returns the number of endpoints that serve a load within its target.
+func RequiredEndpoints(l Load) int {
 	busy := headroom * l.Busy
 	n := max(1, int(math.Ceil(l.Places/slotUse)), int(math.Floor(busy))+1)
 	if l.Read <= 0 || l.Target <= 0 {
--- a/capacity/enough_test.go
+++ b/capacity/enough_test.go
@@ -17,18 +17,18 @@
 }
 
 func TestEnoughEndpointsKeepTheWaitShort(t *testing.T) {
-	n := capacity.Enough(load())
+	n := capacity.RequiredEndpoints(load())
 	assert.Greater(t, n, 4, "all would be busy")
 	assert.LessOrEqual(t, n, 8)
 	l := load()
 	l.Spread = 30
-	assert.Greater(t, capacity.Enough(l), n, "a higher variation means a longer wait")
+	assert.Greater(t, capacity.RequiredEndpoints(l), n, "a higher variation means a longer wait")
 	l = load()
 	l.Target = 2 * time.Second
-	assert.Less(t, capacity.Enough(l), n, "a longer target allows a longer wait")
+	assert.Less(t, capacity.RequiredEndpoints(l), n, "a longer target allows a longer wait")
 	l = load()
 	l.Places = 9
-	assert.Equal(t, 12, capacity.Enough(l), "three quarters of the slots")
+	assert.Equal(t, 12, capacity.RequiredEndpoints(l), "three quarters of the slots")
 }
 
 // Guards against too few endpoints where daemons learn late of each other's prompts: prompts sent
@@ -36,18 +36,18 @@
 func TestStaleStateNeedsMoreEndpoints(t *testing.T) {
 	l := load()
 	l.Busy = 20
-	n := capacity.Enough(l)
+	n := capacity.RequiredEndpoints(l)
 	l.Blind = 15 * time.Millisecond
-	assert.Equal(t, n, capacity.Enough(l), "the delay is short compared with the target")
+	assert.Equal(t, n, capacity.RequiredEndpoints(l), "the delay is short compared with the target")
 	l.Blind = 130 * time.Millisecond
-	assert.GreaterOrEqual(t, float64(capacity.Enough(l))*l.Target.Seconds()*0.25, 20*l.Blind.Seconds())
-	assert.Greater(t, capacity.Enough(l), n)
+	assert.GreaterOrEqual(t, float64(capacity.RequiredEndpoints(l))*l.Target.Seconds()*0.25, 20*l.Blind.Seconds())
+	assert.Greater(t, capacity.RequiredEndpoints(l), n)
 }
 
 func TestLargeServicesNeedLessSpareCapacity(t *testing.T) {
 	small, large := load(), load()
 	large.Busy *= 10
-	use := func(l capacity.Load) float64 { return l.Busy / float64(capacity.Enough(l)) }
+	use := func(l capacity.Load) float64 { return l.Busy / float64(capacity.RequiredEndpoints(l)) }
 	assert.Greater(t, use(large), use(small))
 }
 
@@ -56,12 +56,12 @@
 		l := load()
 		l.Busy = rapid.Float64Range(0, 3000).Draw(t, "busy")
 		l.Spread = rapid.Float64Range(0, 50).Draw(t, "spread")
-		n := capacity.Enough(l)
+		n := capacity.RequiredEndpoints(l)
 		if float64(n) <= l.Busy {
 			t.Fatalf("%d endpoints for %f busy", n, l.Busy)
 		}
 		l.Busy *= 1.5
-		if capacity.Enough(l) < n {
+		if capacity.RequiredEndpoints(l) < n {
 			t.Fatalf("fewer endpoints for a higher load")
 		}
 	})
--- a/entry/rolloutduty.go
+++ b/entry/rolloutduty.go
@@ -236,7 +236,7 @@
 	if w == nil || !w.Seen {
 		return 0
 	}
-	return capacity.Enough(x.load(b, w))
+	return capacity.RequiredEndpoints(x.load(b, w))
 }
 
 // applyDecision applies a stage that this daemon has written as the lease holder, and broadcasts it.
--- a/entry/scale.go
+++ b/entry/scale.go
@@ -200,7 +200,7 @@
 	}
 	load := x.load(b, w)
 	if w.Seen {
-		state.Enough = capacity.Enough(load)
+		state.Enough = capacity.RequiredEndpoints(load)
 	}
 	plan := capacity.Plan(state)
 	if w.Seen && on(mechanism.ScaleHold) {
