--- a/entry/rollouts.go
+++ b/entry/rollouts.go
@@ -66,8 +66,8 @@
 // running reports whether an order has not ended.
 func (v *serviceVersions) running() bool { return v.order.Number != 0 && !v.fact.Stage.Ended() }
 
-func (v *serviceVersions) standing() rollout.Standing {
-	return rollout.Standing{Own: v.own, OrderState: v.fact, Order: v.order.Number != 0}
+func (v *serviceVersions) standing() rollout.VersionPolicy {
+	return rollout.VersionPolicy{Own: v.own, OrderState: v.fact, Order: v.order.Number != 0}
 }
 
 func (v *serviceVersions) span() rollout.Span {
--- a/request/pool.go
+++ b/request/pool.go
@@ -28,10 +28,10 @@
 
 	mu          sync.Mutex
 	byID        map[string]*Target
-	standing    rollout.Standing // of the service's versions
-	ended       map[string]bool  // boxes that have ended; the box list may still contain them
-	savedStates stateMemory      // advertised state of endpoints without an entry
-	batch       int              // default concurrency of an endpoint
+	standing    rollout.VersionPolicy // of the service's versions
+	ended       map[string]bool       // boxes that have ended; the box list may still contain them
+	savedStates stateMemory           // advertised state of endpoints without an entry
+	batch       int                   // default concurrency of an endpoint
 
 	lastTick time.Time
 
--- a/rollout/role.go
+++ b/rollout/role.go
@@ -21,9 +21,9 @@
 // String returns the role's name.
 func (r Role) String() string { return [...]string{"own", "trial", "barred"}[r] }
 
-// Standing says which versions of a service may run requests. In the zero value, without an order,
+// VersionPolicy says which versions of a service may run requests. In the zero value, without an order,
 // any version may.
-type Standing struct {
+type VersionPolicy struct {
 	Own        []string // current versions without an order; nil if unknown
 	OrderState          // state of the newest order
 	Order      bool     // there is an order
@@ -31,7 +31,7 @@
 
 // RoleOf returns the role of a version. While the stage of an order is unknown its target version
 // gets no requests, as it may have been rolled back.
-func (s Standing) RoleOf(version string) Role {
+func (s VersionPolicy) RoleOf(version string) Role {
 	own := s.Own == nil || slices.Contains(s.Own, version)
 	if !s.Order {
 		return choose(own, Own, Barred)
--- a/rollout/rollout_test.go
+++ b/rollout/rollout_test.go
@@ -18,16 +18,16 @@
 // A version gets requests only if it is a current version of the service or an order allows it.
 func TestWhichVersionsMayRunRequests(t *testing.T) {
 	own := []string{"v1"}
-	at := func(s rollout.Stage) rollout.Standing {
-		return rollout.Standing{Own: own, Order: true, OrderState: rollout.OrderState{Number: 7, Target: "v2", Stage: s}}
+	at := func(s rollout.Stage) rollout.VersionPolicy {
+		return rollout.VersionPolicy{Own: own, Order: true, OrderState: rollout.OrderState{Number: 7, Target: "v2", Stage: s}}
 	}
 	for _, tc := range []struct {
 		name     string
-		standing rollout.Standing
+		standing rollout.VersionPolicy
 		roles    map[string]rollout.Role
 	}{
-		{"nothing known", rollout.Standing{}, map[string]rollout.Role{"v1": rollout.Own, "v2": rollout.Own}},
-		{"no order", rollout.Standing{Own: own}, map[string]rollout.Role{"v1": rollout.Own, "v2": rollout.Barred}},
+		{"nothing known", rollout.VersionPolicy{}, map[string]rollout.Role{"v1": rollout.Own, "v2": rollout.Own}},
+		{"no order", rollout.VersionPolicy{Own: own}, map[string]rollout.Role{"v1": rollout.Own, "v2": rollout.Barred}},
 		{"an order of which nothing else is known", at(rollout.Unknown), map[string]rollout.Role{"v1": rollout.Own, "v2": rollout.Barred}},
 		{"watching", at(rollout.Watching), map[string]rollout.Role{"v1": rollout.Own, "v2": rollout.Trial, "v9": rollout.Barred}},
 		{"shifting", at(rollout.Shifting), map[string]rollout.Role{"v1": rollout.Own, "v2": rollout.Trial, "v9": rollout.Barred}},
