--- a/crash/ledger.go
+++ b/crash/ledger.go
@@ -40,8 +40,8 @@
 	For   time.Duration `codec:"f"` // time since it was sent there
 }
 
-// End is the crash of an endpoint, with the requests that one daemon had in flight there.
-type End struct {
+// EndpointCrash is the crash of an endpoint, with the requests that one daemon had in flight there.
+type EndpointCrash struct {
 	Endpoint string   `codec:"e"`
 	Flights  []Flight `codec:"f"`
 }
@@ -92,7 +92,7 @@
 }
 
 // Ended records the crash of an endpoint and returns the new verdicts.
-func (l *Ledger) Ended(now time.Time, e End) (fresh []Verdict) {
+func (l *Ledger) Ended(now time.Time, e EndpointCrash) (fresh []Verdict) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.lazyInit()
--- a/crash/ledger_test.go
+++ b/crash/ledger_test.go
@@ -19,8 +19,8 @@
 func printOf(i int) crash.Fingerprint { return crash.FingerprintOf([]byte(fmt.Sprint("request ", i))) }
 
 // end returns the crash of an endpoint with the requests of these numbers in flight.
-func end(endpoint int, requests ...int) crash.End {
-	e := crash.End{Endpoint: fmt.Sprint("i-", endpoint)}
+func end(endpoint int, requests ...int) crash.EndpointCrash {
+	e := crash.EndpointCrash{Endpoint: fmt.Sprint("i-", endpoint)}
 	for _, i := range requests {
 		e.Flights = append(e.Flights, crash.Flight{Print: printOf(i), For: time.Second})
 	}
--- a/request/enddetector.go
+++ b/request/enddetector.go
@@ -30,7 +30,7 @@
 	client *conn.Client
 	now    func() time.Time
 	log    *logrus.Entry
-	report func(now time.Time, e crash.End)
+	report func(now time.Time, e crash.EndpointCrash)
 
 	mu          sync.Mutex
 	interrupted map[*Target][]crash.Flight // interrupted requests of the endpoints to be probed
@@ -72,7 +72,7 @@
 		"endpoint": t.ID, "requests": len(flights), "ended": ended, "leaving": leaving, "error": err,
 	}).Info("endpoint closed connections")
 	if ended {
-		x.report(now, crash.End{Endpoint: t.Start(), Flights: flights})
+		x.report(now, crash.EndpointCrash{Endpoint: t.Start(), Flights: flights})
 	}
 }
 
--- a/request/holdmessage.go
+++ b/request/holdmessage.go
@@ -11,9 +11,9 @@
 
 // holdMessage is the message that daemons exchange about requests that crash endpoints.
 type holdMessage struct {
-	End      *crash.End          `codec:"e,omitempty"`
-	Verdicts []wireVerdict       `codec:"v,omitempty"`
-	Cleared  []crash.Fingerprint `codec:"c,omitempty"`
+	End      *crash.EndpointCrash `codec:"e,omitempty"`
+	Verdicts []wireVerdict        `codec:"v,omitempty"`
+	Cleared  []crash.Fingerprint  `codec:"c,omitempty"`
 }
 
 // wireVerdict is a verdict as encoded on a link. Times are relative to the present, as the
--- a/request/holds.go
+++ b/request/holds.go
@@ -46,14 +46,14 @@
 }
 
 // reportEnd records and reports the end of an endpoint that this daemon has detected.
-func (h *Holds) reportEnd(now time.Time, e crash.End) {
+func (h *Holds) reportEnd(now time.Time, e crash.EndpointCrash) {
 	h.Ended.Add(1)
 	h.recordEnd(now, e)
 	sendMessage(h.share.Weigh, holdMessage{End: &e})
 }
 
 // recordEnd records the end of an endpoint, reported by any daemon, and publishes new verdicts.
-func (h *Holds) recordEnd(now time.Time, e crash.End) {
+func (h *Holds) recordEnd(now time.Time, e crash.EndpointCrash) {
 	h.onEnd(now, e.Endpoint)
 	for _, v := range h.Ledger.Ended(now, e) {
 		h.log.WithFields(logrus.Fields{
