--- a/crash/bench_test.go
+++ b/crash/bench_test.go
@@ -41,7 +41,7 @@
 		for f := range 32 {
 			e.Flights = append(e.Flights, crash.Flight{Print: printOf(32*i + f), For: time.Second})
 		}
-		l.Ended(start.Add(time.Duration(i)*100*time.Millisecond), e)
+		l.AddCrash(start.Add(time.Duration(i)*100*time.Millisecond), e)
 		i++
 	}
 }
--- a/crash/ledger.go
+++ b/crash/ledger.go
@@ -91,8 +91,8 @@
 	l.answered = Recent[Fingerprint]{Period: answeredTTL, Most: maxAnswered}
 }
 
-// Ended records the crash of an endpoint and returns the new verdicts.
-func (l *Ledger) Ended(now time.Time, e EndpointCrash) (fresh []Verdict) {
+// AddCrash records the crash of an endpoint and returns the new verdicts.
+func (l *Ledger) AddCrash(now time.Time, e EndpointCrash) (fresh []Verdict) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.lazyInit()
--- a/crash/ledger_test.go
+++ b/crash/ledger_test.go
@@ -55,7 +55,7 @@
 	for i := range 3 {
 		assert.False(t, held(&l, now, 0), "after %d", i)
 		now = now.Add(5 * time.Second)
-		l.Ended(now, end(i, 0))
+		l.AddCrash(now, end(i, 0))
 	}
 	v, ok := l.Held(now, printOf(0))
 	require.True(t, ok)
@@ -69,7 +69,7 @@
 func TestReportsOfOneCrashAreDeduplicated(t *testing.T) {
 	var l crash.Ledger
 	for i := range 10 {
-		l.Ended(start.Add(time.Duration(i)*50*time.Millisecond), end(1, 0))
+		l.AddCrash(start.Add(time.Duration(i)*50*time.Millisecond), end(1, 0))
 	}
 	assert.False(t, held(&l, start, 0))
 	assert.Equal(t, 1, l.Suspected(printOf(0)))
@@ -79,7 +79,7 @@
 func TestAnEndpointThatCrashesAgainCountsAgain(t *testing.T) {
 	var l crash.Ledger
 	for i := range 3 {
-		l.Ended(start.Add(time.Duration(i)*3*time.Second), end(1, 0))
+		l.AddCrash(start.Add(time.Duration(i)*3*time.Second), end(1, 0))
 	}
 	assert.True(t, held(&l, start.Add(6*time.Second), 0))
 }
@@ -94,7 +94,7 @@
 		e := end(i, beside...)
 		// The cause crashes the endpoint as it begins, wherever it stands in the list.
 		e.Flights = append(e.Flights, crash.Flight{Print: printOf(0), For: 60 * time.Millisecond})
-		l.Ended(now, e)
+		l.AddCrash(now, e)
 	}
 	assert.True(t, held(&l, now, 0))
 	for _, i := range beside {
@@ -108,7 +108,7 @@
 	var l crash.Ledger
 	l.Answered(start, printOf(0))
 	for i := range 10 {
-		l.Ended(start.Add(2*time.Second), end(i, 0, i+1))
+		l.AddCrash(start.Add(2*time.Second), end(i, 0, i+1))
 	}
 	assert.False(t, held(&l, start.Add(2*time.Second), 0))
 	assert.Zero(t, l.Suspected(printOf(0)))
@@ -119,7 +119,7 @@
 func TestAnswerClearsAVerdict(t *testing.T) {
 	var local, remote crash.Ledger
 	for i := range 3 {
-		local.Ended(start, end(i, 0))
+		local.AddCrash(start, end(i, 0))
 	}
 	v, ok := local.Held(start, printOf(0))
 	require.True(t, ok)
@@ -147,7 +147,7 @@
 			now := start
 			for i := range 3 {
 				now = now.Add(tc.pause)
-				l.Ended(now, end(i, 0))
+				l.AddCrash(now, end(i, 0))
 			}
 			v, _ := l.Held(now, printOf(0))
 			assert.False(t, v.Due(now.Add(tc.due-time.Millisecond)))
@@ -167,7 +167,7 @@
 func TestStaleVerdictDoesNotUndoATrial(t *testing.T) {
 	var l crash.Ledger
 	for i := range 3 {
-		l.Ended(start, end(i, 0))
+		l.AddCrash(start, end(i, 0))
 	}
 	v, _ := l.Held(start, printOf(0))
 	now := start.Add(10 * time.Second)
@@ -183,7 +183,7 @@
 	var l crash.Ledger
 	for i := range 300 {
 		for e := range 3 {
-			l.Ended(start.Add(time.Duration(i)*time.Second), end(3*i+e, i))
+			l.AddCrash(start.Add(time.Duration(i)*time.Second), end(3*i+e, i))
 		}
 	}
 	now := start.Add(300 * time.Second)
@@ -210,7 +210,7 @@
 func TestCrashesFarApartDoNotAddUp(t *testing.T) {
 	var l crash.Ledger
 	for i := range 6 {
-		l.Ended(start.Add(time.Duration(i)*6*time.Minute), end(i, 0))
+		l.AddCrash(start.Add(time.Duration(i)*6*time.Minute), end(i, 0))
 	}
 	assert.False(t, held(&l, start.Add(30*time.Minute), 0))
 }
@@ -233,7 +233,7 @@
 				continue
 			}
 			beside := rapid.IntRange(0, 3).Draw(t, "beside")
-			l.Ended(now, end(step, i, beside))
+			l.AddCrash(now, end(step, i, beside))
 			ends[i]++
 			if beside != i {
 				ends[beside]++
--- a/request/holds.go
+++ b/request/holds.go
@@ -55,7 +55,7 @@
 // recordEnd records the end of an endpoint, reported by any daemon, and publishes new verdicts.
 func (h *Holds) recordEnd(now time.Time, e crash.EndpointCrash) {
 	h.onEnd(now, e.Endpoint)
-	for _, v := range h.Ledger.Ended(now, e) {
+	for _, v := range h.Ledger.AddCrash(now, e) {
 		h.log.WithFields(logrus.Fields{
 			"print": v.Print.String(), "ends": v.Ends, "last_endpoint": e.Endpoint, "beside": len(e.Flights) - 1,
 			"until_s": v.Until.Sub(now).Seconds(), "tried_again_s": v.Next.Sub(now).Seconds(),
