--- a/pace/feedback.go
+++ b/pace/feedback.go
@@ -9,16 +9,16 @@
 
 // Feedback is what an endpoint's answer announces about the endpoint itself.
 type Feedback struct {
-	PerSecond float64       // requests a second that it accepts from all daemons together, if Limited
-	Limited   bool          // the answer announces a rate limit
-	Unclear   bool          // the announced limit is not a number
-	Leaves    bool          // it is shutting down
-	Backoff   time.Duration // how long the daemon must not send it requests; 0 for not at all
-	Bad       []Bad         // announced values that are invalid
+	PerSecond float64        // requests a second that it accepts from all daemons together, if Limited
+	Limited   bool           // the answer announces a rate limit
+	Unclear   bool           // the announced limit is not a number
+	Leaves    bool           // it is shutting down
+	Backoff   time.Duration  // how long the daemon must not send it requests; 0 for not at all
+	Bad       []InvalidValue // announced values that are invalid
 }
 
-// Bad is an invalid value that an endpoint sent.
-type Bad struct{ What, Value string }
+// InvalidValue is an invalid value that an endpoint sent.
+type InvalidValue struct{ What, Value string }
 
 // The kinds of invalid values.
 const (
@@ -37,11 +37,11 @@
 		named := s.PerSecond
 		if s.PerSecond, s.Limited = Believable(named); !s.Limited {
 			s.Unclear = true
-			s.Bad = append(s.Bad, Bad{BadLimit, strconv.FormatFloat(named, 'g', -1, 64)})
+			s.Bad = append(s.Bad, InvalidValue{BadLimit, strconv.FormatFloat(named, 'g', -1, 64)})
 		}
 	}
 	if s.Backoff > maxBackoff {
-		s.Bad = append(s.Bad, Bad{InvalidBackoff, s.Backoff.String()})
+		s.Bad = append(s.Bad, InvalidValue{InvalidBackoff, s.Backoff.String()})
 		s.Backoff = 0
 	}
 	return s
--- a/request/advertised.go
+++ b/request/advertised.go
@@ -104,7 +104,7 @@
 }
 
 // recordInvalid records an invalid value, and reports whether it differs from the last one of its kind.
-func (s *advertisedState) recordInvalid(b pace.Bad) bool {
+func (s *advertisedState) recordInvalid(b pace.InvalidValue) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.bad[b.What] == b.Value {
--- a/request/permit.go
+++ b/request/permit.go
@@ -93,7 +93,7 @@
 }
 
 // logInvalid logs invalid advertised values, unless the value was the last one logged for its kind.
-func (r *run) logInvalid(t *Target, bad []pace.Bad) {
+func (r *run) logInvalid(t *Target, bad []pace.InvalidValue) {
 	for _, b := range bad {
 		if t.advertised.recordInvalid(b) {
 			r.log.WithFields(logrus.Fields{"endpoint": t.ID, "value": b.Value, "request": r.r.ID}).
