--- a/pace/feedback.go
+++ b/pace/feedback.go
@@ -35,7 +35,7 @@
 func (s Feedback) Validated() Feedback {
 	if s.Limited {
 		named := s.PerSecond
-		if s.PerSecond, s.Limited = Believable(named); !s.Limited {
+		if s.PerSecond, s.Limited = ValidRate(named); !s.Limited {
 			s.Unclear = true
 			s.Bad = append(s.Bad, InvalidValue{BadLimit, strconv.FormatFloat(named, 'g', -1, 64)})
 		}
--- a/pace/limit.go
+++ b/pace/limit.go
@@ -24,9 +24,9 @@
 // Named reports whether the endpoint has a limit.
 func (l Limit) Named() bool { return l.PerSecond > 0 }
 
-// Believable returns the rate to enforce for an announced one, or 0 for no limit; ok is false if the
+// ValidRate returns the rate to enforce for an announced one, or 0 for no limit; ok is false if the
 // announced value is not a valid rate.
-func Believable(perSecond float64) (float64, bool) {
+func ValidRate(perSecond float64) (float64, bool) {
 	switch {
 	case math.IsNaN(perSecond), math.IsInf(perSecond, 0), perSecond < 0:
 		return 0, false
--- a/pace/limiter_test.go
+++ b/pace/limiter_test.go
@@ -151,13 +151,13 @@
 
 func TestInvalidLimitIsRejected(t *testing.T) {
 	for _, bad := range []float64{-1, math.NaN(), math.Inf(1), math.Inf(-1)} {
-		_, ok := pace.Believable(bad)
+		_, ok := pace.ValidRate(bad)
 		assert.False(t, ok, "%g", bad)
 	}
-	least, ok := pace.Believable(0)
+	least, ok := pace.ValidRate(0)
 	assert.True(t, ok)
 	assert.Positive(t, least, "it must get requests to announce a higher limit")
-	none, ok := pace.Believable(1e300)
+	none, ok := pace.ValidRate(1e300)
 	assert.True(t, ok)
 	assert.Zero(t, none, "more than daemons could send")
 }
