--- a/entry/permits.go
+++ b/entry/permits.go
@@ -84,7 +84,7 @@
 		now = clock.Now()
 	}
 	k.shared.Add(1)
-	return k.shares.AllowShare(now, t.Hash(), l.PerSecond, pace.Draw(t.Hash(), k.d.Self.Name), k.d.fleet().Sharers())
+	return k.shares.AllowShare(now, t.Hash(), l.PerSecond, pace.HashFraction(t.Hash(), k.d.Self.Name), k.d.fleet().Sharers())
 }
 
 // grantFraction returns the fraction of each limit that this daemon grants: all of it, unless it reaches so few other
--- a/pace/limiter_test.go
+++ b/pace/limiter_test.go
@@ -97,7 +97,7 @@
 		var granted []time.Time
 		for now := start; now.Before(start.Add(time.Minute)); now = now.Add(step) {
 			for i := range limiters {
-				if limiters[i].AllowShare(now, 7, limit, pace.Draw(7, fmt.Sprint("daemon-", i)), daemons).OK {
+				if limiters[i].AllowShare(now, 7, limit, pace.HashFraction(7, fmt.Sprint("daemon-", i)), daemons).OK {
 					granted = append(granted, now)
 				}
 			}
@@ -185,7 +185,7 @@
 	for _, lost := range []time.Duration{0, time.Minute} {
 		for now := start.Add(lost); now.Before(start.Add(lost + window)); now = now.Add(step) {
 			for i := range limiters {
-				if limiters[i].AllowShare(now, 7, limit, pace.Draw(7, fmt.Sprint("daemon-", i)), daemons).OK {
+				if limiters[i].AllowShare(now, 7, limit, pace.HashFraction(7, fmt.Sprint("daemon-", i)), daemons).OK {
 					granted = append(granted, now)
 				}
 			}
--- a/pace/owner.go
+++ b/pace/owner.go
@@ -17,8 +17,8 @@
 	return owner
 }
 
-// Draw returns a number in [0, 1) derived from the hashes of an endpoint and a daemon.
-func Draw(endpoint uint64, daemon string) float64 {
+// HashFraction returns a number in [0, 1) derived from the hashes of an endpoint and a daemon.
+func HashFraction(endpoint uint64, daemon string) float64 {
 	const bits = 53
 	return float64(mixHashes(endpoint, xxhash.Sum64String(daemon))>>(64-bits)) / (1 << bits)
 }
