--- a/entry/rolloutduty.go
+++ b/entry/rolloutduty.go
@@ -215,7 +215,7 @@
 	}
 	s = rollout.State{
 		Span: v.span(), Finding: v.finding, Ready: pool.Ready(rollout.Trial), Enough: k.enough(service, pool.Ready(rollout.Own)),
-		Busy: k.d.tallies.Running(now, oldVersionKey(pool.Service)), IdleFrom: v.idleSince, Since: v.stageSince, Gone: v.withdrawn,
+		Busy: k.d.tallies.Running(now, oldVersionKey(pool.Service)), IdleFrom: v.idleSince, Since: v.stageSince, Withdrawn: v.withdrawn,
 	}
 	return s, v.fact, v.own, true
 }
--- a/rollout/rollout_test.go
+++ b/rollout/rollout_test.go
@@ -132,7 +132,7 @@
 			Span:    rollout.Span{Stage: rapid.SampledFrom(allStages).Draw(t, "stage"), Deadline: sinceStart(12 * time.Second)},
 			Finding: rollout.Finding{Opinion: rapid.SampledFrom([]rollout.Opinion{rollout.Undecided, rollout.Good, rollout.Bad}).Draw(t, "opinion")},
 			Ready:   rapid.IntRange(0, 3).Draw(t, "ready"), Enough: rapid.IntRange(1, 3).Draw(t, "enough"),
-			Busy: rapid.IntRange(0, 2).Draw(t, "busy"), IdleFrom: sinceStart(0), Since: sinceStart(0), Gone: rapid.Bool().Draw(t, "gone"),
+			Busy: rapid.IntRange(0, 2).Draw(t, "busy"), IdleFrom: sinceStart(0), Since: sinceStart(0), Withdrawn: rapid.Bool().Draw(t, "gone"),
 		}
 		next, _ := rollout.Next(now, s)
 		switch {
--- a/rollout/state.go
+++ b/rollout/state.go
@@ -26,13 +26,13 @@
 // State is what the lease holder knows of an order.
 type State struct {
 	Span
-	Finding  Finding
-	Ready    int       // endpoints of the new version that accept requests
-	Enough   int       // how many of them the service needs
-	Busy     int       // requests at the old endpoints, over all daemons
-	IdleFrom time.Time // when the last of them ended; zero while there are some
-	Since    time.Time // when the stage was entered
-	Gone     bool      // the order was withdrawn or replaced by another
+	Finding   Finding
+	Ready     int       // endpoints of the new version that accept requests
+	Enough    int       // how many of them the service needs
+	Busy      int       // requests at the old endpoints, over all daemons
+	IdleFrom  time.Time // when the last of them ended; zero while there are some
+	Since     time.Time // when the stage was entered
+	Withdrawn bool      // the order was withdrawn or replaced by another
 }
 
 // Next returns the next stage and the reason, or the current stage if nothing changes. It doesn't
@@ -42,7 +42,7 @@
 	switch {
 	case s.Stage.Ended():
 		return s.Stage, ""
-	case s.Gone:
+	case s.Withdrawn:
 		return RolledBack, "withdrawn"
 	case s.Finding.Opinion == Bad:
 		return RolledBack, s.Finding.Reason()
