--- a/pace/feedback.go
+++ b/pace/feedback.go
@@ -22,7 +22,7 @@
 
 // The kinds of invalid values.
 const (
-	BadLimit       = "limit"
+	InvalidLimit   = "limit"
 	BadLeaving     = "word of leaving"
 	InvalidBackoff = "time of rest"
 )
@@ -37,7 +37,7 @@
 		named := s.PerSecond
 		if s.PerSecond, s.Limited = ValidRate(named); !s.Limited {
 			s.Unclear = true
-			s.Bad = append(s.Bad, InvalidValue{BadLimit, strconv.FormatFloat(named, 'g', -1, 64)})
+			s.Bad = append(s.Bad, InvalidValue{InvalidLimit, strconv.FormatFloat(named, 'g', -1, 64)})
 		}
 	}
 	if s.Backoff > maxBackoff {
