--- a/pace/feedback.go
+++ b/pace/feedback.go
@@ -23,7 +23,7 @@
 // The kinds of invalid values.
 const (
 	InvalidLimit   = "limit"
-	BadLeaving     = "word of leaving"
+	InvalidLeaving = "word of leaving"
 	InvalidBackoff = "time of rest"
 )
 
