--- a/pace/feedback.go
+++ b/pace/feedback.go
@@ -11,7 +11,7 @@
 type Feedback struct {
 	PerSecond float64        // requests a second that it accepts from all daemons together, if Limited
 	Limited   bool           // the answer announces a rate limit
-	Unclear   bool           // the announced limit is not a number
+	Malformed bool           // the announced limit is not a number
 	Leaves    bool           // it is shutting down
 	Backoff   time.Duration  // how long the daemon must not send it requests; 0 for not at all
 	Bad       []InvalidValue // announced values that are invalid
@@ -36,7 +36,7 @@
 	if s.Limited {
 		named := s.PerSecond
 		if s.PerSecond, s.Limited = ValidRate(named); !s.Limited {
-			s.Unclear = true
+			s.Malformed = true
 			s.Bad = append(s.Bad, InvalidValue{InvalidLimit, strconv.FormatFloat(named, 'g', -1, 64)})
 		}
 	}
--- a/request/permit.go
+++ b/request/permit.go
@@ -71,7 +71,7 @@
 	told := logrus.Fields{}
 	// An answer without an ID may come from a proxy in front of the endpoint, so that a missing limit means
 	// nothing.
-	if said.Limited || !said.Unclear && h.ID != "" {
+	if said.Limited || !said.Malformed && h.ID != "" {
 		if l, tell := t.RecordLimit(said.PerSecond); tell {
 			told["per_second"], told["turn"] = l.PerSecond, l.Turn
 		}
