--- a/pace/feedback.go
+++ b/pace/feedback.go
@@ -12,7 +12,7 @@
 	PerSecond float64        // requests a second that it accepts from all daemons together, if Limited
 	Limited   bool           // the answer announces a rate limit
 	Malformed bool           // the announced limit is not a number
-	Leaves    bool           // it is shutting down
+	Leaving   bool           // it is shutting down
 	Backoff   time.Duration  // how long the daemon must not send it requests; 0 for not at all
 	Bad       []InvalidValue // announced values that are invalid
 }
--- a/request/permit.go
+++ b/request/permit.go
@@ -76,7 +76,7 @@
 			told["per_second"], told["turn"] = l.PerSecond, l.Turn
 		}
 	}
-	if said.Leaves && t.RecordLeaving(now, r.opts.Drain) {
+	if said.Leaving && t.RecordLeaving(now, r.opts.Drain) {
 		told["leaves"], told["left_ms"] = true, r.opts.Drain.Milliseconds()
 	}
 	if said.Backoff > 0 && t.RecordBackoff(now, said.Backoff) {
