--- a/crash/ledger_test.go
+++ b/crash/ledger_test.go
@@ -59,7 +59,7 @@
 	}
 	v, ok := l.Held(now, printOf(0))
 	require.True(t, ok)
-	assert.Equal(t, 3, v.Ends)
+	assert.Equal(t, 3, v.Crashes)
 	assert.False(t, held(&l, now, 1))
 	assert.True(t, held(&l, now.Add(59*time.Minute), 0))
 	assert.False(t, held(&l, now.Add(time.Hour), 0), "endpoints may run other software by then")
--- a/crash/verdict.go
+++ b/crash/verdict.go
@@ -25,11 +25,11 @@
 
 // Verdict is the state of a request that is held back.
 type Verdict struct {
-	Print  Fingerprint
-	Ends   int       // endpoint crashes that it was in flight for
-	Trials int       // times that it was tried again since
-	Next   time.Time // earliest time of the next trial
-	Until  time.Time // expiry of the verdict
+	Print   Fingerprint
+	Crashes int       // endpoint crashes that it was in flight for
+	Trials  int       // times that it was tried again since
+	Next    time.Time // earliest time of the next trial
+	Until   time.Time // expiry of the verdict
 }
 
 // newVerdict returns the verdict on a request after some crashes within span.
@@ -38,7 +38,7 @@
 	if span < simultaneousWindow {
 		pause = uncertainRetryDelay
 	}
-	return Verdict{Print: p, Ends: ends, Next: now.Add(pause), Until: now.Add(verdictTTL)}
+	return Verdict{Print: p, Crashes: ends, Next: now.Add(pause), Until: now.Add(verdictTTL)}
 }
 
 // Due reports whether the request may be tried again now.
@@ -78,6 +78,6 @@
 	if v.Until.After(x.Until) {
 		x.Until = v.Until
 	}
-	x.Ends = max(x.Ends, v.Ends)
+	x.Crashes = max(x.Crashes, v.Crashes)
 	return x
 }
--- a/request/holds.go
+++ b/request/holds.go
@@ -57,7 +57,7 @@
 	h.onEnd(now, e.Endpoint)
 	for _, v := range h.Ledger.AddCrash(now, e) {
 		h.log.WithFields(logrus.Fields{
-			"print": v.Print.String(), "ends": v.Ends, "last_endpoint": e.Endpoint, "beside": len(e.Flights) - 1,
+			"print": v.Print.String(), "ends": v.Crashes, "last_endpoint": e.Endpoint, "beside": len(e.Flights) - 1,
 			"until_s": v.Until.Sub(now).Seconds(), "tried_again_s": v.Next.Sub(now).Seconds(),
 		}).Warn("request held back: it crashes endpoints")
 		sendMessage(h.share.Tell, verdictMessage(now, v))
@@ -101,5 +101,5 @@
 		r.holdTrial = true
 		return nil
 	}
-	return code.New(code.CrashesEndpoints, "%d endpoints have crashed while running it", v.Ends).After(max(v.RetryAt().Sub(now), minTrialRetryAfter))
+	return code.New(code.CrashesEndpoints, "%d endpoints have crashed while running it", v.Crashes).After(max(v.RetryAt().Sub(now), minTrialRetryAfter))
 }
