--- a/rollout/share.go
+++ b/rollout/share.go
@@ -6,9 +6,9 @@
 
 // Cap bounds the requests that a version on trial may get.
 type Cap struct {
-	Share float64       // of the service's requests between the order and its deadline
-	Slack float64       // additional requests, over all daemons
-	Back  time.Duration // no requests later than this after its 50th bad answer
+	Share        float64       // of the service's requests between the order and its deadline
+	Slack        float64       // additional requests, over all daemons
+	RollbackTime time.Duration // no requests later than this after its 50th bad answer
 }
 
 const (
--- a/rollout/sim_test.go
+++ b/rollout/sim_test.go
@@ -128,7 +128,7 @@
 						o.exposed++
 					}
 				}
-				if toNew && fiftiethBad > 0 && now > fiftiethBad+v.cap.Back {
+				if toNew && fiftiethBad > 0 && now > fiftiethBad+v.cap.RollbackTime {
 					o.late++
 				}
 				x := request{route: i, new: toNew}
