--- a/entry/rollouts.go
+++ b/entry/rollouts.go
@@ -256,7 +256,7 @@
 			if v.order.Number != 0 {
 				delete(found, v.order.Target)
 			}
-			if v.own = rollout.OwnOf(found); v.own == nil {
+			if v.own = rollout.OwnVersions(found); v.own == nil {
 				continue
 			}
 			k.d.log.WithFields(logrus.Fields{"part": "rollout", "service": name, "own": v.own}).Info("own versions of the service determined")
--- a/rollout/role.go
+++ b/rollout/role.go
@@ -60,9 +60,9 @@
 // updated; a single endpoint of another version is not.
 const minOwnShare = 1.0 / 3
 
-// OwnOf returns the current versions of a service, given how many of the endpoints found at the
+// OwnVersions returns the current versions of a service, given how many of the endpoints found at the
 // start run each.
-func OwnOf(found map[string]int) []string {
+func OwnVersions(found map[string]int) []string {
 	total := 0
 	for _, n := range found {
 		total += n
--- a/rollout/rollout_test.go
+++ b/rollout/rollout_test.go
@@ -41,10 +41,10 @@
 }
 
 func TestOwnVersionsNeedAThirdOfTheEndpoints(t *testing.T) {
-	assert.Nil(t, rollout.OwnOf(nil))
-	assert.Equal(t, []string{"v1"}, rollout.OwnOf(map[string]int{"v1": 30, "v9": 1}))
-	assert.Equal(t, []string{"v1", "v2"}, rollout.OwnOf(map[string]int{"v1": 5, "v2": 5}), "a fleet that is being updated")
-	assert.Equal(t, []string{"a"}, rollout.OwnOf(map[string]int{"a": 2, "b": 2, "c": 2, "d": 2}))
+	assert.Nil(t, rollout.OwnVersions(nil))
+	assert.Equal(t, []string{"v1"}, rollout.OwnVersions(map[string]int{"v1": 30, "v9": 1}))
+	assert.Equal(t, []string{"v1", "v2"}, rollout.OwnVersions(map[string]int{"v1": 5, "v2": 5}), "a fleet that is being updated")
+	assert.Equal(t, []string{"a"}, rollout.OwnVersions(map[string]int{"a": 2, "b": 2, "c": 2, "d": 2}))
 }
 
 // A final stage never changes, in whichever order messages arrive.
