--- a/entry/rollouts.go
+++ b/entry/rollouts.go
@@ -175,7 +175,7 @@
 	cap := k.d.Site().Bounds.Untried
 	v.order, v.writtenBy, v.withdrawn, v.stageSince = o, written, false, now
 	v.fact = rollout.OrderState{Number: o.Number, Target: o.Target}
-	v.bucket, v.evidence = &rollout.Bucket{Cap: cap, Lead: k.initialLevel()}, &rollout.ClampedSPRT{}
+	v.bucket, v.evidence = &rollout.Bucket{Cap: cap, InitialCredit: k.initialLevel()}, &rollout.ClampedSPRT{}
 	v.finding, v.logged, v.idleSince, v.baselines = rollout.Finding{}, time.Time{}, time.Time{}, nil
 	k.d.log.WithFields(logrus.Fields{
 		"part": "rollout", "service": o.Service, "target": o.Target, "order": o.Number, "for_ms": o.For.Milliseconds(),
--- a/rollout/rollout_test.go
+++ b/rollout/rollout_test.go
@@ -86,7 +86,9 @@
 	rapid.Check(t, func(t *rapid.T) {
 		cap := rollout.Cap{Share: rapid.SampledFrom([]float64{0.1, 0.3}).Draw(t, "share"), Slack: 50}
 		daemons := rapid.IntRange(1, 8).Draw(t, "daemons")
-		begin := func(i int) *rollout.Bucket { return &rollout.Bucket{Cap: cap, Lead: float64(i) / float64(daemons)} }
+		begin := func(i int) *rollout.Bucket {
+			return &rollout.Bucket{Cap: cap, InitialCredit: float64(i) / float64(daemons)}
+		}
 		buckets := make([]*rollout.Bucket, daemons)
 		for i := range buckets {
 			buckets[i] = begin(i)
--- a/rollout/share.go
+++ b/rollout/share.go
@@ -66,9 +66,9 @@
 // route gets the same part, so that a rare route is observed as soon as the others.
 type Bucket struct {
 	Cap Cap
-	// Lead is the initial credit, below 1 and different at each daemon, so that daemons with few
+	// InitialCredit is the initial credit, below 1 and different at each daemon, so that daemons with few
 	// requests don't all round down.
-	Lead float64
+	InitialCredit float64
 
 	requests float64 // requests
 	taken    float64 // requests sent to the version on trial
@@ -126,7 +126,9 @@
 }
 
 // withinCap reports whether one more request is within a part of the cap.
-func (b *Bucket) withinCap(part float64) bool { return b.taken+1-b.Lead <= part*b.Cap.Share*b.requests }
+func (b *Bucket) withinCap(part float64) bool {
+	return b.taken+1-b.InitialCredit <= part*b.Cap.Share*b.requests
+}
 
 // hasEvenPart reports whether the route has had no more than its even part of the requests, plus
 // routeLead.
--- a/rollout/table_test.go
+++ b/rollout/table_test.go
@@ -27,9 +27,11 @@
 		fault: f, daemons: daemons, rates: []float64{68, 155, 153}, base: []float64{0, 0, 0},
 		takes: []time.Duration{1800 * time.Millisecond, 1300 * time.Millisecond, 200 * time.Millisecond},
 		old:   30, used: 3, length: 12 * time.Second,
-		cap:   rollout.Cap{Share: 0.1, Slack: 50, RollbackTime: 5 * time.Second},
-		share: func(r *rand.Rand, c rollout.Cap) rollout.Share { return &rollout.Bucket{Cap: c, Lead: r.Float64()} },
-		test:  func() rollout.Analyzer { return &rollout.ClampedSPRT{} },
+		cap: rollout.Cap{Share: 0.1, Slack: 50, RollbackTime: 5 * time.Second},
+		share: func(r *rand.Rand, c rollout.Cap) rollout.Share {
+			return &rollout.Bucket{Cap: c, InitialCredit: r.Float64()}
+		},
+		test: func() rollout.Analyzer { return &rollout.ClampedSPRT{} },
 	}
 	switch os.Getenv("WAY") { // the alternatives that the table compares
 	case "pooled":
