--- a/capacity/enough_test.go
+++ b/capacity/enough_test.go
@@ -37,10 +37,10 @@
 	l := load()
 	l.Busy = 20
 	n := capacity.RequiredEndpoints(l)
-	l.Blind = 15 * time.Millisecond
+	l.StateDelay = 15 * time.Millisecond
 	assert.Equal(t, n, capacity.RequiredEndpoints(l), "the delay is short compared with the target")
-	l.Blind = 130 * time.Millisecond
-	assert.GreaterOrEqual(t, float64(capacity.RequiredEndpoints(l))*l.Target.Seconds()*0.25, 20*l.Blind.Seconds())
+	l.StateDelay = 130 * time.Millisecond
+	assert.GreaterOrEqual(t, float64(capacity.RequiredEndpoints(l))*l.Target.Seconds()*0.25, 20*l.StateDelay.Seconds())
 	assert.Greater(t, capacity.RequiredEndpoints(l), n)
 }
 
--- a/entry/scale.go
+++ b/entry/scale.go
@@ -229,7 +229,7 @@
 	}
 	l.Read, l.Spread = pool.ReadTimes()
 	if x.d.without.On(mechanism.BlindTime) {
-		l.Blind = x.d.sendsDelay()
+		l.StateDelay = x.d.sendsDelay()
 	}
 	if c := x.d.catalog.get(); c != nil {
 		l.Target = c.ShortestTarget(b.Name)
