--- a/capacity/enough.go
+++ b/capacity/enough.go
@@ -34,7 +34,7 @@
 	Busy       float64       // endpoints that would process prompts all the time
 	Places     float64       // endpoints whose slots would all be in use
 	Read       time.Duration // mean time to process a prompt; 0 if unknown
-	Spread     float64       // squared coefficient of variation of that time
+	ReadSCV    float64       // squared coefficient of variation of that time
 	StateDelay time.Duration // delay after which daemons know of the prompts that others send
 	Target     time.Duration // shortest target of the service's routes; 0 if there is none
 }
@@ -47,7 +47,7 @@
 		return n
 	}
 	n = max(n, int(math.Ceil(busy*float64(l.StateDelay)/(maxBlindShare*float64(l.Target)))))
-	for n < maxEndpoints && Wait(n, busy, l.Read, l.Spread) > time.Duration(maxWaitShare*float64(l.Target)) {
+	for n < maxEndpoints && Wait(n, busy, l.Read, l.ReadSCV) > time.Duration(maxWaitShare*float64(l.Target)) {
 		n++
 	}
 	return n
--- a/capacity/enough_test.go
+++ b/capacity/enough_test.go
@@ -13,7 +13,7 @@
 )
 
 func load() capacity.Load {
-	return capacity.Load{Busy: 3.6, Read: 34 * time.Millisecond, Spread: 6, Target: 250 * time.Millisecond}
+	return capacity.Load{Busy: 3.6, Read: 34 * time.Millisecond, ReadSCV: 6, Target: 250 * time.Millisecond}
 }
 
 func TestEnoughEndpointsKeepTheWaitShort(t *testing.T) {
@@ -21,7 +21,7 @@
 	assert.Greater(t, n, 4, "all would be busy")
 	assert.LessOrEqual(t, n, 8)
 	l := load()
-	l.Spread = 30
+	l.ReadSCV = 30
 	assert.Greater(t, capacity.RequiredEndpoints(l), n, "a higher variation means a longer wait")
 	l = load()
 	l.Target = 2 * time.Second
@@ -55,7 +55,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		l := load()
 		l.Busy = rapid.Float64Range(0, 3000).Draw(t, "busy")
-		l.Spread = rapid.Float64Range(0, 50).Draw(t, "spread")
+		l.ReadSCV = rapid.Float64Range(0, 50).Draw(t, "spread")
 		n := capacity.RequiredEndpoints(l)
 		if float64(n) <= l.Busy {
 			t.Fatalf("%d endpoints for %f busy", n, l.Busy)
--- a/entry/scale.go
+++ b/entry/scale.go
@@ -209,7 +209,7 @@
 	if text := fmt.Sprint(plan); text != s.lastPlan {
 		s.lastPlan = text
 		x.d.log.WithFields(logrus.Fields{
-			"part": "scale", "service": b.Name, "enough": state.Enough, "busy": load.Busy, "places": load.Places, "read_ms": load.Read.Milliseconds(), "spread": load.Spread,
+			"part": "scale", "service": b.Name, "enough": state.Enough, "busy": load.Busy, "places": load.Places, "read_ms": load.Read.Milliseconds(), "spread": load.ReadSCV,
 			"live": sum(state.Live), "serving": sum(state.Serving), "coming": sum(coming), "dry": state.SpotUnavailable, "plan": text,
 		}).Info("planned")
 	}
@@ -227,7 +227,7 @@
 	if slots > 0 {
 		l.Places = w.Running / slots
 	}
-	l.Read, l.Spread = pool.ReadTimes()
+	l.Read, l.ReadSCV = pool.ReadTimes()
 	if x.d.without.On(mechanism.BlindTime) {
 		l.StateDelay = x.d.sendsDelay()
 	}
