--- a/capacity/enough.go
+++ b/capacity/enough.go
@@ -32,7 +32,7 @@
 // Load describes the load of a service.
 type Load struct {
 	Busy       float64       // endpoints that would process prompts all the time
-	Places     float64       // endpoints whose slots would all be in use
+	SlotLoad   float64       // endpoints whose slots would all be in use
 	Read       time.Duration // mean time to process a prompt; 0 if unknown
 	ReadSCV    float64       // squared coefficient of variation of that time
 	StateDelay time.Duration // delay after which daemons know of the prompts that others send
@@ -42,7 +42,7 @@
 // RequiredEndpoints returns the number of endpoints that serve a load within its target.
 func RequiredEndpoints(l Load) int {
 	busy := headroom * l.Busy
-	n := max(1, int(math.Ceil(l.Places/slotUse)), int(math.Floor(busy))+1)
+	n := max(1, int(math.Ceil(l.SlotLoad/slotUse)), int(math.Floor(busy))+1)
 	if l.Read <= 0 || l.Target <= 0 {
 		return n
 	}
--- a/capacity/enough_test.go
+++ b/capacity/enough_test.go
@@ -27,7 +27,7 @@
 	l.Target = 2 * time.Second
 	assert.Less(t, capacity.RequiredEndpoints(l), n, "a longer target allows a longer wait")
 	l = load()
-	l.Places = 9
+	l.SlotLoad = 9
 	assert.Equal(t, 12, capacity.RequiredEndpoints(l), "three quarters of the slots")
 }
 
--- a/entry/scale.go
+++ b/entry/scale.go
@@ -209,7 +209,7 @@
 	if text := fmt.Sprint(plan); text != s.lastPlan {
 		s.lastPlan = text
 		x.d.log.WithFields(logrus.Fields{
-			"part": "scale", "service": b.Name, "enough": state.Enough, "busy": load.Busy, "places": load.Places, "read_ms": load.Read.Milliseconds(), "spread": load.ReadSCV,
+			"part": "scale", "service": b.Name, "enough": state.Enough, "busy": load.Busy, "places": load.SlotLoad, "read_ms": load.Read.Milliseconds(), "spread": load.ReadSCV,
 			"live": sum(state.Live), "serving": sum(state.Serving), "coming": sum(coming), "dry": state.SpotUnavailable, "plan": text,
 		}).Info("planned")
 	}
@@ -225,7 +225,7 @@
 		slots = float64(b.Slots) // of the endpoints to come
 	}
 	if slots > 0 {
-		l.Places = w.Running / slots
+		l.SlotLoad = w.Running / slots
 	}
 	l.Read, l.ReadSCV = pool.ReadTimes()
 	if x.d.without.On(mechanism.BlindTime) {
@@ -235,7 +235,7 @@
 		l.Target = c.ShortestTarget(b.Name)
 	}
 	if !x.d.without.On(mechanism.QueueModel) {
-		l = capacity.Load{Busy: l.Busy / targetUtilization, Places: l.Places}
+		l = capacity.Load{Busy: l.Busy / targetUtilization, SlotLoad: l.SlotLoad}
 	}
 	return l
 }
