--- a/capacity/plan.go
+++ b/capacity/plan.go
@@ -43,7 +43,7 @@
 	Found           map[string]int // endpoints by zone that existed at the start
 	Live            map[Kind]int   // endpoints that accept requests
 	Serving         map[Kind]int   // those of them that have answered a request
-	Coming          map[Kind]int   // endpoints that are ordered and still starting
+	Starting        map[Kind]int   // endpoints that are ordered and still starting
 	Enough          int            // endpoints needed for the load; negative while unknown
 	SpotUnavailable bool           // an order of reclaimable endpoints was refused recently
 	Idle            bool           // the system has just started, and the service has no load yet
@@ -79,7 +79,7 @@
 	found, coming := 0, 0
 	for _, z := range zones {
 		found += s.Found[z]
-		coming += s.Live[Kind{z, true}] + s.Coming[Kind{z, true}]
+		coming += s.Live[Kind{z, true}] + s.Starting[Kind{z, true}]
 	}
 	if s.Early {
 		found = max(found, int(earlyShare*float64(s.Most*len(zones))))
@@ -92,7 +92,7 @@
 		return append(out, s.onDemand(zones, found/2)...)
 	}
 	for i, o := range out {
-		out[i].Count = max(o.Count, s.Live[o.Kind]+s.Coming[o.Kind])
+		out[i].Count = max(o.Count, s.Live[o.Kind]+s.Starting[o.Kind])
 	}
 	for _, z := range zones {
 		k := Kind{z, false}
@@ -147,13 +147,13 @@
 // endpoints are serving or starting; none is given up before reclaimable ones serve in its place.
 func (s State) onDemandCount(zones []string) int {
 	maxOnDemand := max(0, s.Enough-s.dependable(zones, s.Serving))
-	minOnDemand := max(0, s.Enough-s.dependable(zones, s.Live, s.Coming))
+	minOnDemand := max(0, s.Enough-s.dependable(zones, s.Live, s.Starting))
 	if s.NoHold {
 		return minOnDemand
 	}
 	have := 0
 	for _, z := range zones {
-		have += s.Live[Kind{z, false}] + s.Coming[Kind{z, false}]
+		have += s.Live[Kind{z, false}] + s.Starting[Kind{z, false}]
 	}
 	return min(max(have, minOnDemand), max(maxOnDemand, minOnDemand))
 }
--- a/capacity/plan_test.go
+++ b/capacity/plan_test.go
@@ -79,8 +79,8 @@
 func TestEndpointsOnDemandStayUntilOthersServe(t *testing.T) {
 	s := capacity.State{
 		Limits: limits(), Enough: 6,
-		Live:   map[capacity.Kind]int{onDemand("b"): 6},
-		Coming: map[capacity.Kind]int{reclaimable("a"): 3, reclaimable("b"): 3, reclaimable("c"): 3, reclaimable("d"): 3},
+		Live:     map[capacity.Kind]int{onDemand("b"): 6},
+		Starting: map[capacity.Kind]int{reclaimable("a"): 3, reclaimable("b"): 3, reclaimable("c"): 3, reclaimable("d"): 3},
 	}
 	_, _, firms := counts(capacity.Plan(s))
 	assert.Equal(t, 6, firms, "starting endpoints don't serve yet")
--- a/entry/scale.go
+++ b/entry/scale.go
@@ -194,7 +194,7 @@
 	on := x.d.without.On
 	state := capacity.State{
 		Limits: capacity.Limits(*b.Scaling), Found: s.initial,
-		Live: live, Serving: serving, Coming: coming, Enough: -1,
+		Live: live, Serving: serving, Starting: coming, Enough: -1,
 		SpotUnavailable: s.refused(true), Idle: !w.Seen && x.d.Site().First, Early: x.startsEarly(b.Name),
 		NoPrice: !on(mechanism.SpareByPrice), NoHold: !on(mechanism.MakeBeforeBreak),
 	}
