--- a/pace/limit.go
+++ b/pace/limit.go
@@ -18,7 +18,7 @@
 // daemon knows. The zero value is an endpoint without a limit.
 type Limit struct {
 	PerSecond float64 `codec:"r,omitempty"` // 0 for none
-	Turn      uint64  `codec:"t,omitempty"` // number of changes, over all daemons that saw one
+	Revision  uint64  `codec:"t,omitempty"` // number of changes, over all daemons that saw one
 }
 
 // Named reports whether the endpoint has a limit.
@@ -40,16 +40,16 @@
 // other daemons. An endpoint's own answer takes precedence over what other daemons sent.
 func (l Limit) Update(perSecond float64) (next Limit, tell bool) {
 	if math.Abs(perSecond-l.PerSecond) <= rateTolerance*l.PerSecond && l.Named() == (perSecond > 0) {
-		return Limit{perSecond, l.Turn}, false
+		return Limit{perSecond, l.Revision}, false
 	}
-	return Limit{perSecond, l.Turn + 1}, true
+	return Limit{perSecond, l.Revision + 1}, true
 }
 
 // Supersedes reports whether l supersedes x, a limit of the same endpoint: the later change wins, and of
 // two concurrent ones the stricter.
 func (l Limit) Supersedes(x Limit) bool {
-	if l.Turn != x.Turn {
-		return l.Turn > x.Turn
+	if l.Revision != x.Revision {
+		return l.Revision > x.Revision
 	}
 	return l.Named() && (!x.Named() || l.PerSecond < x.PerSecond)
 }
--- a/request/permit.go
+++ b/request/permit.go
@@ -73,7 +73,7 @@
 	// nothing.
 	if said.Limited || !said.Malformed && h.ID != "" {
 		if l, tell := t.RecordLimit(said.PerSecond); tell {
-			told["per_second"], told["turn"] = l.PerSecond, l.Turn
+			told["per_second"], told["turn"] = l.PerSecond, l.Revision
 		}
 	}
 	if said.Leaving && t.RecordLeaving(now, r.opts.Drain) {
