--- a/crash/verdict.go
+++ b/crash/verdict.go
@@ -25,11 +25,11 @@
 
 // Verdict is the state of a request that is held back.
 type Verdict struct {
-	Print   Fingerprint
-	Crashes int       // endpoint crashes that it was in flight for
-	Trials  int       // times that it was tried again since
-	Next    time.Time // earliest time of the next trial
-	Until   time.Time // expiry of the verdict
+	Print     Fingerprint
+	Crashes   int       // endpoint crashes that it was in flight for
+	Trials    int       // times that it was tried again since
+	NextTrial time.Time // earliest time of the next trial
+	Until     time.Time // expiry of the verdict
 }
 
 // newVerdict returns the verdict on a request after some crashes within span.
@@ -38,24 +38,24 @@
 	if span < simultaneousWindow {
 		pause = uncertainRetryDelay
 	}
-	return Verdict{Print: p, Crashes: ends, Next: now.Add(pause), Until: now.Add(verdictTTL)}
+	return Verdict{Print: p, Crashes: ends, NextTrial: now.Add(pause), Until: now.Add(verdictTTL)}
 }
 
 // Due reports whether the request may be tried again now.
-func (v Verdict) Due(now time.Time) bool { return v.Trials < maxTrials && !now.Before(v.Next) }
+func (v Verdict) Due(now time.Time) bool { return v.Trials < maxTrials && !now.Before(v.NextTrial) }
 
 // Tried returns the verdict after a trial has begun. Unless the trial is answered, the request is
 // certain to be the cause.
 func (v Verdict) Tried(now time.Time) Verdict {
 	v.Trials++
-	v.Next = now.Add(certainRetryDelay)
+	v.NextTrial = now.Add(certainRetryDelay)
 	return v
 }
 
 // RetryAt returns when a caller may retry the request.
 func (v Verdict) RetryAt() time.Time {
-	if v.Trials < maxTrials && v.Next.Before(v.Until) {
-		return v.Next
+	if v.Trials < maxTrials && v.NextTrial.Before(v.Until) {
+		return v.NextTrial
 	}
 	return v.Until
 }
@@ -72,8 +72,8 @@
 
 // merge combines two verdicts on one request.
 func (v Verdict) merge(x Verdict) Verdict {
-	if v.Trials > x.Trials || v.Trials == x.Trials && v.Next.After(x.Next) {
-		x.Trials, x.Next = v.Trials, v.Next
+	if v.Trials > x.Trials || v.Trials == x.Trials && v.NextTrial.After(x.NextTrial) {
+		x.Trials, x.NextTrial = v.Trials, v.NextTrial
 	}
 	if v.Until.After(x.Until) {
 		x.Until = v.Until
--- a/request/holdmessage.go
+++ b/request/holdmessage.go
@@ -29,13 +29,13 @@
 // verdictMessage returns the message for verdicts.
 func verdictMessage(now time.Time, vs ...crash.Verdict) (n holdMessage) {
 	for _, v := range vs {
-		n.Verdicts = append(n.Verdicts, wireVerdict{v.Print, v.Crashes, v.Trials, v.Next.Sub(now), v.Until.Sub(now)})
+		n.Verdicts = append(n.Verdicts, wireVerdict{v.Print, v.Crashes, v.Trials, v.NextTrial.Sub(now), v.Until.Sub(now)})
 	}
 	return n
 }
 
 func (w wireVerdict) verdict(now time.Time) crash.Verdict {
-	return crash.Verdict{Print: w.Print, Crashes: w.Ends, Trials: w.Trials, Next: now.Add(w.Next), Until: now.Add(w.Left)}
+	return crash.Verdict{Print: w.Print, Crashes: w.Ends, Trials: w.Trials, NextTrial: now.Add(w.Next), Until: now.Add(w.Left)}
 }
 
 // sendMessage encodes and sends a message, unless way is nil.
--- a/request/holdrows.go
+++ b/request/holdrows.go
@@ -46,7 +46,7 @@
 func (h *Holds) encodeVerdict(now time.Time, v crash.Verdict) []byte {
 	day := h.wallClock(now)
 	at := func(t time.Time) int64 { return day.Add(t.Sub(now)).UnixMilli() }
-	b, _ := json.Marshal(rowVerdict{v.Crashes, v.Trials, at(v.Next), at(v.Until)}) // a struct of numbers always encodes
+	b, _ := json.Marshal(rowVerdict{v.Crashes, v.Trials, at(v.NextTrial), at(v.Until)}) // a struct of numbers always encodes
 	return b
 }
 
@@ -62,7 +62,7 @@
 	}
 	day := h.wallClock(now)
 	at := func(ms int64) time.Time { return now.Add(time.UnixMilli(ms).Sub(day)) }
-	return crash.Verdict{Print: p, Crashes: w.Ends, Trials: w.Trials, Next: at(w.Next), Until: at(w.Until)}, nil
+	return crash.Verdict{Print: p, Crashes: w.Ends, Trials: w.Trials, NextTrial: at(w.Next), Until: at(w.Until)}, nil
 }
 
 func holdKey(p crash.Fingerprint) seam.Key { return seam.Key{Part: holdPartition, Sort: p.String()} }
--- a/request/holds.go
+++ b/request/holds.go
@@ -58,7 +58,7 @@
 	for _, v := range h.Ledger.AddCrash(now, e) {
 		h.log.WithFields(logrus.Fields{
 			"print": v.Print.String(), "ends": v.Crashes, "last_endpoint": e.Endpoint, "beside": len(e.Flights) - 1,
-			"until_s": v.Until.Sub(now).Seconds(), "tried_again_s": v.Next.Sub(now).Seconds(),
+			"until_s": v.Until.Sub(now).Seconds(), "tried_again_s": v.NextTrial.Sub(now).Seconds(),
 		}).Warn("request held back: it crashes endpoints")
 		sendMessage(h.share.Tell, verdictMessage(now, v))
 		h.storeVerdict(v)
