--- a/entry/daemon.go
+++ b/entry/daemon.go
@@ -98,7 +98,9 @@
 }
 
 // Network returns the TCP network of a deployed daemon.
-func Network() seam.Network { return seam.TCP{DialTimeout: dialTimeout, SilentTimeout: unackedTimeout} }
+func Network() seam.Network {
+	return seam.TCP{DialTimeout: dialTimeout, UnackedTimeout: unackedTimeout}
+}
 
 // New starts a daemon, which is ready once it knows the catalog and the endpoints. The mechanisms in
 // without are switched off.
--- a/seam/network.go
+++ b/seam/network.go
@@ -21,8 +21,8 @@
 
 // TCP is the Network of the operating system.
 type TCP struct {
-	DialTimeout   time.Duration // 0 for defaultDialTimeout
-	SilentTimeout time.Duration // how long sent bytes may stay unacknowledged; 0 for the system's default
+	DialTimeout    time.Duration // 0 for defaultDialTimeout
+	UnackedTimeout time.Duration // how long sent bytes may stay unacknowledged; 0 for the system's default
 }
 
 // defaultDialTimeout is the time limit to open a connection, which takes a few milliseconds within a
@@ -38,9 +38,9 @@
 	if t.DialTimeout > 0 {
 		d.Timeout = t.DialTimeout
 	}
-	if t.SilentTimeout > 0 {
-		d.KeepAliveConfig = net.KeepAliveConfig{Enable: true, Idle: t.SilentTimeout / 2, Interval: t.SilentTimeout / 4, Count: 2}
-		d.Control = func(_, _ string, c syscall.RawConn) error { return setUserTimeout(c, t.SilentTimeout) }
+	if t.UnackedTimeout > 0 {
+		d.KeepAliveConfig = net.KeepAliveConfig{Enable: true, Idle: t.UnackedTimeout / 2, Interval: t.UnackedTimeout / 4, Count: 2}
+		d.Control = func(_, _ string, c syscall.RawConn) error { return setUserTimeout(c, t.UnackedTimeout) }
 	}
 	return d.DialContext(ctx, network, address)
 }
