--- a/pace/limiter.go
+++ b/pace/limiter.go
@@ -26,9 +26,9 @@
 
 // Grant is the decision whether a request may be sent to an endpoint now.
 type Grant struct {
-	OK   bool          `codec:"o,omitempty"`
-	Wait time.Duration `codec:"w,omitempty"` // time until the daemon should ask again
-	Gap  time.Duration `codec:"g,omitempty"` // approximate time between two grants to the asker
+	OK       bool          `codec:"o,omitempty"`
+	Wait     time.Duration `codec:"w,omitempty"` // time until the daemon should ask again
+	Interval time.Duration `codec:"g,omitempty"` // approximate time between two grants to the asker
 }
 
 // Limiter is a set of token buckets, one per rate-limited endpoint. The zero value is ready. The
@@ -55,7 +55,7 @@
 	b.refill(now, perSecond, minBurst+perSecond*burstWindow.Seconds())
 	each := requestInterval(perSecond)
 	askers := time.Duration(b.activeAskers(now))
-	g := Grant{Gap: askers * each}
+	g := Grant{Interval: askers * each}
 	if b.tokens >= 1 {
 		b.tokens--
 		g.OK = true
@@ -81,9 +81,9 @@
 	b.refillShare(now, share, each)
 	if b.tokens >= 1 {
 		b.tokens--
-		return Grant{OK: true, Gap: each}
+		return Grant{OK: true, Interval: each}
 	}
-	return Grant{Wait: max(time.Duration((1-b.tokens)*float64(each)), time.Millisecond), Gap: each}
+	return Grant{Wait: max(time.Duration((1-b.tokens)*float64(each)), time.Millisecond), Interval: each}
 }
 
 // refill adds the tokens since the last update, up to most.
--- a/request/advertised.go
+++ b/request/advertised.go
@@ -98,7 +98,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.limit.Named() {
-		s.gap = g.Gap
+		s.gap = g.Interval
 		s.nextPermit.set(now.Add(g.Wait))
 	}
 }
