--- a/capacity/demand.go
+++ b/capacity/demand.go
@@ -28,9 +28,9 @@
 	countedAt time.Time // when Running was last updated
 }
 
-// Count updates Running with the requests at a service's endpoints, given the number of slots that
+// SetRunning updates Running with the requests at a service's endpoints, given the number of slots that
 // these have. With no slots it does nothing: no request can run then, whatever the load.
-func (d *Demand) Count(now time.Time, running, places int) {
+func (d *Demand) SetRunning(now time.Time, running, places int) {
 	if places <= 0 {
 		return
 	}
--- a/capacity/plan_test.go
+++ b/capacity/plan_test.go
@@ -129,11 +129,11 @@
 	var d capacity.Demand
 	at := time.Unix(1000, 0)
 	for i := range 200 {
-		d.Count(at.Add(time.Duration(i)*100*time.Millisecond), 400, 1000)
+		d.SetRunning(at.Add(time.Duration(i)*100*time.Millisecond), 400, 1000)
 	}
 	assert.InDelta(t, 400, d.Running, 1)
 	for i := range 40 {
-		d.Count(at.Add(20*time.Second+time.Duration(i)*100*time.Millisecond), 0, 0)
+		d.SetRunning(at.Add(20*time.Second+time.Duration(i)*100*time.Millisecond), 0, 0)
 	}
 	assert.InDelta(t, 400, d.Running, 1)
 }
--- a/entry/scale.go
+++ b/entry/scale.go
@@ -120,7 +120,7 @@
 		pool := x.d.work(name).Pool
 		w.Take(now, pool.Reading())
 		places, _ := pool.Capacity()
-		w.Count(now, x.d.tallies.Running(now, pool.Service), places)
+		w.SetRunning(now, x.d.tallies.Running(now, pool.Service), places)
 	}
 }
 
