--- a/capacity/demand.go
+++ b/capacity/demand.go
@@ -49,8 +49,8 @@
 	return 1 - math.Exp(-dt.Seconds()/timeConstant.Seconds())
 }
 
-// Take updates Busy with the total time of prompt processing requested of a service so far.
-func (d *Demand) Take(now time.Time, read time.Duration) {
+// AddReadTime updates Busy with the total time of prompt processing requested of a service so far.
+func (d *Demand) AddReadTime(now time.Time, read time.Duration) {
 	if d.sampledAt.IsZero() {
 		d.sampledAt, d.readTotal = now, read
 		return
--- a/capacity/enough_test.go
+++ b/capacity/enough_test.go
@@ -70,14 +70,14 @@
 func TestDemandIsSmoothed(t *testing.T) {
 	var d capacity.Demand
 	at := time.Unix(1000, 0)
-	d.Take(at, 0)
+	d.AddReadTime(at, 0)
 	assert.False(t, d.Seen)
 	for i := 1; i <= 10; i++ {
-		d.Take(at.Add(time.Duration(i)*2*time.Second), time.Duration(i)*6*time.Second)
+		d.AddReadTime(at.Add(time.Duration(i)*2*time.Second), time.Duration(i)*6*time.Second)
 	}
 	assert.True(t, d.Seen)
 	assert.InDelta(t, 3, d.Busy, 0.1)
-	d.Take(at.Add(22*time.Second), 60*time.Second)
+	d.AddReadTime(at.Add(22*time.Second), 60*time.Second)
 	assert.Greater(t, d.Busy, 2.0, "a falling load is followed more slowly")
 }
 
