--- a/entry/contact.go
+++ b/entry/contact.go
@@ -92,7 +92,7 @@
 // judgeCutOff updates whether this daemon, in a large fleet, reaches no other.
 func (d *Daemon) judgeCutOff(now time.Time) {
 	silent := d.contact.silent(now)
-	cut := d.many() && silent > cutOffAfter
+	cut := d.largeFleet() && silent > cutOffAfter
 	if d.contact.cutOff.Swap(cut) != cut {
 		d.log.WithFields(logrus.Fields{"part": "peers", "cut_off": cut, "silent_ms": silent.Milliseconds()}).
 			Info("contact with other daemons lost or regained: the share of each limit in use changes")
@@ -101,7 +101,7 @@
 
 // recordAdmissionReport records a report of what other daemons admit.
 func (d *Daemon) recordAdmissionReport(now time.Time) {
-	if d.many() && d.contact.noReport() {
+	if d.largeFleet() && d.contact.noReport() {
 		// Creates the buckets while the share is still this daemon's own: otherwise each of many daemons
 		// that start together would begin with half of every limit. In a small fleet each does, and they
 		// learn of each other's admissions at once.
--- a/entry/crashes.go
+++ b/entry/crashes.go
@@ -30,7 +30,7 @@
 func (d *Daemon) sendCrash(p conn.Payload) {
 	r := d.roster()
 	switch {
-	case !d.many():
+	case !d.largeFleet():
 		d.giveAll(d.Hub.Mesh.NeighbourNames(), p)
 	case d.isReader():
 		d.giveAll(r.Beyond, p)
@@ -41,7 +41,7 @@
 
 // forwardCrash forwards crash reports from a daemon of this reader's zone.
 func (d *Daemon) forwardCrash(from string, p conn.Payload) {
-	if d.many() && d.isReader() && d.inZone(from) {
+	if d.largeFleet() && d.isReader() && d.inZone(from) {
 		d.giveAll(d.roster().Beyond, conn.Payload{Crashes: p.Crashes})
 	}
 }
@@ -62,7 +62,7 @@
 			sleep(ctx, tickPeriod)
 		}
 		switch {
-		case due && (!d.many() || d.isReader()), d.fleet().Apart():
+		case due && (!d.largeFleet() || d.isReader()), d.fleet().Apart():
 			due = !d.Server.Holds.Load(ctx) && due
 		default:
 			due = false
--- a/entry/duties.go
+++ b/entry/duties.go
@@ -113,7 +113,7 @@
 	// This applies only to taking the lease: a holder that released it for this would let another
 	// daemon act, and then take it back.
 	settled := x.holds() || now.Sub(x.began) >= minLeaseUptime && (now.Sub(x.rosterSince) >= rosterStableTime || now.Sub(x.began) >= rosterStableLimit)
-	return x.d.contact.counted.Load() && settled && (!x.d.many() || x.d.isReader())
+	return x.d.contact.counted.Load() && settled && (!x.d.largeFleet() || x.d.isReader())
 }
 
 // holds reports whether this daemon held the lease when it last checked.
--- a/entry/endpointreports.go
+++ b/entry/endpointreports.go
@@ -63,7 +63,7 @@
 
 // tell sends the queued reports to other daemons.
 func (k *wordKeeper) tell(now time.Time) {
-	many := k.d.many()
+	many := k.d.largeFleet()
 	k.mu.Lock()
 	if many && now.Sub(k.lastSent) < reportBatchDelay {
 		k.mu.Unlock()
@@ -103,7 +103,7 @@
 		k.d.log.WithField("part", "endpoints").Warnf("invalid endpoint reports from %s: %v", from, err)
 		return
 	}
-	pass := k.d.many() && k.d.isReader()
+	pass := k.d.largeFleet() && k.d.isReader()
 	inZone := pass && k.d.inZone(from)
 	for _, w := range words {
 		k.merge(now, w)
--- a/entry/feeder.go
+++ b/entry/feeder.go
@@ -79,7 +79,7 @@
 // pauses returns the first and the longest pause after a failed call. In a large fleet the readers retry on
 // behalf of all; the others only check whether they alone are cut off.
 func (f *feeder) pauses() (first, last time.Duration) {
-	if f.d.many() && !f.d.isReader() {
+	if f.d.largeFleet() && !f.d.isReader() {
 		return aloneFirstPause, aloneLastPause
 	}
 	return firstPause, lastPause
--- a/entry/members.go
+++ b/entry/members.go
@@ -32,7 +32,7 @@
 			written = d.writeMember(ctx)
 		}
 		alone := d.Hub.Mesh.Neighbours() == 0
-		if !read && (alone || !d.many() || d.isReader() || !d.contact.counted.Load()) {
+		if !read && (alone || !d.largeFleet() || d.isReader() || !d.contact.counted.Load()) {
 			d.readMembers(ctx)
 		}
 		pause := memberPeriod
--- a/entry/peers.go
+++ b/entry/peers.go
@@ -96,7 +96,7 @@
 // askPause returns the interval of queries to other daemons.
 func (d *Daemon) askPause(now time.Time) time.Duration {
 	switch {
-	case !d.many():
+	case !d.largeFleet():
 		return peerPause
 	case now.Sub(d.began) < youngFor && (!d.Site().First || d.catalog.get() == nil) || d.quotas.NearLimit(now):
 		return quickPause
@@ -211,7 +211,7 @@
 	if c := d.catalog.get(); c != nil {
 		q.Catalog = c.Version
 	}
-	if d.many() {
+	if d.largeFleet() {
 		t := d.tallies.Own()
 		q.Tally = &t
 	}
--- a/entry/permits.go
+++ b/entry/permits.go
@@ -49,7 +49,7 @@
 // owner returns the daemon that grants requests to an endpoint.
 func (k *limitKeeper) owner(endpoint uint64) string {
 	var names []string
-	if r := k.d.roster(); k.d.many() && r.Known {
+	if r := k.d.roster(); k.d.largeFleet() && r.Known {
 		names = append(names, r.Reader.Name)
 		names = append(names, r.Beyond...)
 	} else {
--- a/entry/rolloutduty.go
+++ b/entry/rolloutduty.go
@@ -174,7 +174,7 @@
 // daemons restarted after a completed order, the only version got no requests until one of them held
 // the lease.
 func (k *rolloutController) load(ctx context.Context) {
-	if k.active.Load() == 0 || !k.d.contact.counted.Load() || k.d.many() && !k.d.isReader() {
+	if k.active.Load() == 0 || !k.d.contact.counted.Load() || k.d.largeFleet() && !k.d.isReader() {
 		return
 	}
 	for _, service := range k.unknown() {
--- a/entry/rolloutreports.go
+++ b/entry/rolloutreports.go
@@ -44,7 +44,7 @@
 	words := k.words(now, false)
 	switch {
 	case len(words) == 0:
-	case !k.d.many():
+	case !k.d.largeFleet():
 		k.d.giveAll(k.d.Hub.Mesh.NeighbourNames(), conn.Payload{Orders: conn.Marshal(words)})
 	case k.d.isReader():
 		k.d.giveAll(k.d.roster().Beyond, conn.Payload{Orders: conn.Marshal(words)})
--- a/entry/rollouts.go
+++ b/entry/rollouts.go
@@ -331,7 +331,7 @@
 // evaluate checks the results of the versions on trial, and rolls back the bad ones. This needs
 // neither the store nor the lease holder.
 func (k *rolloutController) evaluate(now time.Time) {
-	if k.active.Load() == 0 || k.d.many() && !k.d.isReader() {
+	if k.active.Load() == 0 || k.d.largeFleet() && !k.d.isReader() {
 		return
 	}
 	k.mu.Lock()
--- a/entry/sentprompts.go
+++ b/entry/sentprompts.go
@@ -98,7 +98,7 @@
 			return
 		case <-d.sends.wake:
 		}
-		many := d.many()
+		many := d.largeFleet()
 		if many && d.isReader() {
 			sleep(ctx, relayBatchDelay)
 		} else {
@@ -115,7 +115,7 @@
 
 // sendsDelay returns the longest delay until other daemons know of a prompt.
 func (d *Daemon) sendsDelay() time.Duration {
-	if d.many() {
+	if d.largeFleet() {
 		return sendsBatchDelay + 2*relayBatchDelay
 	}
 	return sendsBatchDelay
@@ -170,7 +170,7 @@
 			d.Server.Works.HearSent(now, s)
 		}
 	}
-	if d.many() && d.isReader() {
+	if d.largeFleet() && d.isReader() {
 		d.sends.relay(sends, d.inZone(in.From))
 	}
 }
--- a/entry/tallyexchange.go
+++ b/entry/tallyexchange.go
@@ -32,8 +32,8 @@
 	readerLossTTL = 4 * gossipPeriod
 )
 
-// many reports whether the fleet is too large for each daemon to send its tally to all others.
-func (d *Daemon) many() bool { return len(d.Hub.Mesh.Members()) > fullMesh }
+// largeFleet reports whether the fleet is too large for each daemon to send its tally to all others.
+func (d *Daemon) largeFleet() bool { return len(d.Hub.Mesh.Members()) > fullMesh }
 
 // isReader reports whether this daemon is its zone's reader.
 func (d *Daemon) isReader() bool {
@@ -55,7 +55,7 @@
 
 // gossipPause returns the time until tallies are exchanged again.
 func (d *Daemon) gossipPause(now time.Time) time.Duration {
-	if d.many() && d.quotas.NearLimit(now) {
+	if d.largeFleet() && d.quotas.NearLimit(now) {
 		return quickGossip
 	}
 	return gossipPeriod
@@ -64,7 +64,7 @@
 // gossip sends tallies to neighbours that lack them, or, as a reader of a large fleet, queries other readers.
 func (d *Daemon) gossip(now time.Time) {
 	d.countRunning()
-	if !d.many() {
+	if !d.largeFleet() {
 		for _, name := range d.Hub.Mesh.NeighbourNames() {
 			if news := d.tallies.News(name, ScopeAll); len(news) > 0 {
 				d.Hub.Give(name, conn.Payload{Tallies: news})
