--- a/entry/daemon.go
+++ b/entry/daemon.go
@@ -66,7 +66,7 @@
 	duties         *duties
 	rollouts       rolloutController
 	limits         limitKeeper
-	words          wordKeeper
+	words          reportExchange
 	meters         *meters
 	unknown        unknownHeaders
 	externalClient *http.Client // for the store and the cloud API
--- a/entry/endpointreports.go
+++ b/entry/endpointreports.go
@@ -31,9 +31,9 @@
 	return out
 }
 
-// wordKeeper exchanges endpoints' reports with other daemons. Without them each daemon would learn the same
+// reportExchange exchanges endpoints' reports with other daemons. Without them each daemon would learn the same
 // from the endpoint itself sooner or later, by a request that is lost or exceeds a limit.
-type wordKeeper struct {
+type reportExchange struct {
 	d *Daemon
 
 	mu       sync.Mutex
@@ -43,8 +43,8 @@
 	lastSent time.Time // when reports were sent last
 }
 
-func newWordKeeper(d *Daemon) wordKeeper {
-	return wordKeeper{d: d, known: make(reportSet), zone: make(reportSet), beyond: make(reportSet)}
+func newWordKeeper(d *Daemon) reportExchange {
+	return reportExchange{d: d, known: make(reportSet), zone: make(reportSet), beyond: make(reportSet)}
 }
 
 // maxUnlistedReports bounds the reports that are kept of endpoints not in the list.
@@ -52,7 +52,7 @@
 
 // said queues a new report of an endpoint. It is sent with the next tick, as the answers that an endpoint
 // gives at one time all report the same.
-func (k *wordKeeper) said(w request.Word) {
+func (k *reportExchange) said(w request.Word) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.zone.add(w)
@@ -62,7 +62,7 @@
 const reportBatchDelay = 200 * time.Millisecond
 
 // tell sends the queued reports to other daemons.
-func (k *wordKeeper) tell(now time.Time) {
+func (k *reportExchange) tell(now time.Time) {
 	many := k.d.largeFleet()
 	k.mu.Lock()
 	if many && now.Sub(k.lastSent) < reportBatchDelay {
@@ -87,14 +87,14 @@
 	}
 }
 
-func (k *wordKeeper) sendReports(to []string, words []request.Word) {
+func (k *reportExchange) sendReports(to []string, words []request.Word) {
 	if len(words) > 0 {
 		k.d.giveAll(to, conn.Payload{Words: conn.Marshal(words)})
 	}
 }
 
 // hear takes in another daemon's reports, and queues them to be forwarded if this daemon is a reader.
-func (k *wordKeeper) hear(now time.Time, from string, b []byte) {
+func (k *reportExchange) hear(now time.Time, from string, b []byte) {
 	if len(b) == 0 {
 		return
 	}
@@ -119,7 +119,7 @@
 }
 
 // merge merges a report and returns what is then known of the endpoint.
-func (k *wordKeeper) merge(now time.Time, w request.Word) request.Word {
+func (k *reportExchange) merge(now time.Time, w request.Word) request.Word {
 	if t := k.d.Server.Works.ByHash(w.Endpoint); t != nil {
 		t.HearWord(now, w, k.d.Site().Bounds.Drain)
 		return t.Word(now)
@@ -136,7 +136,7 @@
 
 // found applies earlier reports to an endpoint that has been listed just now, for the first time or again.
 // It returns the endpoint, which may be nil.
-func (k *wordKeeper) found(t *request.Target) *request.Target {
+func (k *reportExchange) found(t *request.Target) *request.Target {
 	if t == nil {
 		return nil
 	}
