--- a/entry/endpointreports.go
+++ b/entry/endpointreports.go
@@ -43,7 +43,7 @@
 	lastSent time.Time // when reports were sent last
 }
 
-func newWordKeeper(d *Daemon) reportExchange {
+func newReportExchange(d *Daemon) reportExchange {
 	return reportExchange{d: d, known: make(reportSet), zone: make(reportSet), beyond: make(reportSet)}
 }
 
