--- a/entry/endpointreports.go
+++ b/entry/endpointreports.go
@@ -50,9 +50,9 @@
 // maxUnlistedReports bounds the reports that are kept of endpoints not in the list.
 const maxUnlistedReports = 1024
 
-// said queues a new report of an endpoint. It is sent with the next tick, as the answers that an endpoint
+// queue queues a new report of an endpoint. It is sent with the next tick, as the answers that an endpoint
 // gives at one time all report the same.
-func (k *reportExchange) said(w request.Word) {
+func (k *reportExchange) queue(w request.Word) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.zone.add(w)
