--- a/entry/daemon.go
+++ b/entry/daemon.go
@@ -275,7 +275,7 @@
 		d.Server.Works.Tick(now, len(d.Hub.Mesh.Members()))
 		d.runners.tick(now)
 		d.rollouts.tick(now)
-		d.words.tell(now)
+		d.words.flush(now)
 		d.observeWallClock(now)
 		d.judgeCutOff(now)
 		d.contact.noteAlone(now, len(d.Hub.Mesh.Members()) < 2)
--- a/entry/endpointreports.go
+++ b/entry/endpointreports.go
@@ -61,8 +61,8 @@
 // reportBatchDelay is how long reports are batched in a large fleet: a frame costs more than its content.
 const reportBatchDelay = 200 * time.Millisecond
 
-// tell sends the queued reports to other daemons.
-func (k *reportExchange) tell(now time.Time) {
+// flush sends the queued reports to other daemons.
+func (k *reportExchange) flush(now time.Time) {
 	many := k.d.largeFleet()
 	k.mu.Lock()
 	if many && now.Sub(k.lastSent) < reportBatchDelay {
