--- a/entry/daemon.go
+++ b/entry/daemon.go
@@ -314,7 +314,7 @@
 	}
 	d.Server.Holds.Take(now, in.From, in.Payload)
 	d.rollouts.receive(now, in.From, in.Payload.Orders)
-	d.words.hear(now, in.From, in.Payload.Words)
+	d.words.receive(now, in.From, in.Payload.Words)
 	if len(in.Payload.Sends) > 0 {
 		d.hearSends(now, in)
 	}
--- a/entry/endpointreports.go
+++ b/entry/endpointreports.go
@@ -93,8 +93,8 @@
 	}
 }
 
-// hear takes in another daemon's reports, and queues them to be forwarded if this daemon is a reader.
-func (k *reportExchange) hear(now time.Time, from string, b []byte) {
+// receive takes in another daemon's reports, and queues them to be forwarded if this daemon is a reader.
+func (k *reportExchange) receive(now time.Time, from string, b []byte) {
 	if len(b) == 0 {
 		return
 	}
