--- a/entry/endpointreports.go
+++ b/entry/endpointreports.go
@@ -134,9 +134,9 @@
 	return k.known[w.Endpoint]
 }
 
-// found applies earlier reports to an endpoint that has been listed just now, for the first time or again.
+// applyPending applies earlier reports to an endpoint that has been listed just now, for the first time or again.
 // It returns the endpoint, which may be nil.
-func (k *reportExchange) found(t *request.Target) *request.Target {
+func (k *reportExchange) applyPending(t *request.Target) *request.Target {
 	if t == nil {
 		return nil
 	}
--- a/entry/runners.go
+++ b/entry/runners.go
@@ -185,7 +185,7 @@
 	if r.SlowFor > 0 {
 		slowUntil = clock.Now().Add(r.SlowFor)
 	}
-	return k.d.words.found(w.Pool.Add(request.Endpoint{
+	return k.d.words.applyPending(w.Pool.Add(request.Endpoint{
 		ID: r.ID, Born: r.Born, Service: w.Pool.Service, Version: r.Version, Zone: r.Zone, SlowUntil: slowUntil, Address: r.Address, Reclaimable: r.Reclaimable, Slots: r.Slots,
 		Memory: k.d.memory(r.Service),
 	}))
