--- a/entry/daemon.go
+++ b/entry/daemon.go
@@ -65,7 +65,7 @@
 	sends          sendQueue
 	duties         *duties
 	rollouts       rolloutController
-	limits         limitKeeper
+	limits         permitGranter
 	words          reportExchange
 	meters         *meters
 	unknown        unknownHeaders
--- a/entry/permits.go
+++ b/entry/permits.go
@@ -30,8 +30,8 @@
 	ownerRetryPause = time.Second
 )
 
-// limitKeeper finds the daemon that grants requests to an endpoint, and grants requests to other daemons.
-type limitKeeper struct {
+// permitGranter finds the daemon that grants requests to an endpoint, and grants requests to other daemons.
+type permitGranter struct {
 	d      *Daemon
 	owned  pace.Limiter // of endpoints that this daemon grants for
 	shares pace.Limiter // of its even shares
@@ -42,12 +42,12 @@
 	granted, refused, shared atomic.Int64 // queries; shared counts those decided by an even share
 }
 
-func newLimitKeeper(d *Daemon) limitKeeper {
-	return limitKeeper{d: d, unresponsive: make(map[string]time.Time)}
+func newLimitKeeper(d *Daemon) permitGranter {
+	return permitGranter{d: d, unresponsive: make(map[string]time.Time)}
 }
 
 // owner returns the daemon that grants requests to an endpoint.
-func (k *limitKeeper) owner(endpoint uint64) string {
+func (k *permitGranter) owner(endpoint uint64) string {
 	var names []string
 	if r := k.d.roster(); k.d.largeFleet() && r.Known {
 		names = append(names, r.Reader.Name)
@@ -61,7 +61,7 @@
 }
 
 // Take implements request.Permits.
-func (k *limitKeeper) Take(ctx context.Context, t *request.Target) pace.Grant {
+func (k *permitGranter) Take(ctx context.Context, t *request.Target) pace.Grant {
 	g := k.take(ctx, t)
 	if g.OK {
 		k.granted.Add(1)
@@ -71,7 +71,7 @@
 	return g
 }
 
-func (k *limitKeeper) take(ctx context.Context, t *request.Target) pace.Grant {
+func (k *permitGranter) take(ctx context.Context, t *request.Target) pace.Grant {
 	l, now := t.Limit(), clock.Now()
 	owner := k.owner(t.Hash())
 	switch {
@@ -89,14 +89,14 @@
 
 // grantFraction returns the fraction of each limit that this daemon grants: all of it, unless it reaches so few other
 // daemons that those may have chosen another owner.
-func (k *limitKeeper) grantFraction() float64 {
+func (k *permitGranter) grantFraction() float64 {
 	if f := k.d.fleet(); f.Apart() {
 		return f.LimitShare()
 	}
 	return 1
 }
 
-func (k *limitKeeper) isUnresponsive(now time.Time, name string) bool {
+func (k *permitGranter) isUnresponsive(now time.Time, name string) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return now.Before(k.unresponsive[name])
@@ -109,7 +109,7 @@
 }
 
 // ask queries another daemon for a grant; ok is false if it does not answer.
-func (k *limitKeeper) ask(ctx context.Context, owner string, t *request.Target, l pace.Limit) (g pace.Grant, ok bool) {
+func (k *permitGranter) ask(ctx context.Context, owner string, t *request.Target, l pace.Limit) (g pace.Grant, ok bool) {
 	ctx, cancel := context.WithTimeout(ctx, permitTimeout)
 	defer cancel()
 	b, err := k.d.Hub.Ask(ctx, owner, askPermit, conn.Marshal(request.Word{Endpoint: t.Hash(), Limit: l}))
@@ -129,7 +129,7 @@
 }
 
 // markUnresponsive records that a daemon did not answer a query for a grant.
-func (k *limitKeeper) markUnresponsive(now time.Time, owner, endpoint string, err error) {
+func (k *permitGranter) markUnresponsive(now time.Time, owner, endpoint string, err error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.unresponsive[owner] = now.Add(ownerRetryPause)
@@ -143,7 +143,7 @@
 }
 
 // answer answers another daemon's query for a grant.
-func (k *limitKeeper) answer(from string, body []byte) ([]byte, error) {
+func (k *permitGranter) answer(from string, body []byte) ([]byte, error) {
 	var w request.Word
 	if err := conn.Unmarshal(body, &w); err != nil {
 		return nil, err
