--- a/entry/daemon.go
+++ b/entry/daemon.go
@@ -125,7 +125,7 @@
 	d.catalog.d = d
 	d.runners = newEndpointTracker(d)
 	d.rollouts = newRolloutController(d)
-	d.limits, d.words = newLimitKeeper(d), newReportExchange(d)
+	d.limits, d.words = newPermitGranter(d), newReportExchange(d)
 	d.tallies = NewTallies(d.Self)
 	d.sends.wake = make(chan struct{}, 1)
 	d.Server = request.NewServer(d.options(), conn.NewClient(n, defaultMaxBody), nil, nil, log)
--- a/entry/permits.go
+++ b/entry/permits.go
@@ -42,7 +42,7 @@
 	granted, refused, shared atomic.Int64 // queries; shared counts those decided by an even share
 }
 
-func newLimitKeeper(d *Daemon) permitGranter {
+func newPermitGranter(d *Daemon) permitGranter {
 	return permitGranter{d: d, unresponsive: make(map[string]time.Time)}
 }
 
