--- a/entry/tally.go
+++ b/entry/tally.go
@@ -186,10 +186,10 @@
 	Units int64
 }
 
-// Hear merges tallies received from a neighbour and returns the admissions that they add. A partial tally
+// Merge merges tallies received from a neighbour and returns the admissions that they add. A partial tally
 // holds only the counts that changed; whole is false if one arrived for a daemon that is not known here,
 // since there is nothing to apply it to.
-func (t *Tallies) Hear(now time.Time, from string, in []conn.Tally) (out []Admitted, whole bool) {
+func (t *Tallies) Merge(now time.Time, from string, in []conn.Tally) (out []Admitted, whole bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	whole = true
--- a/entry/tally_test.go
+++ b/entry/tally_test.go
@@ -21,7 +21,7 @@
 
 // exchange has one tell another what is news to it.
 func exchange(now time.Time, from, to *entry.Tallies, fromName, toName string) []entry.Admitted {
-	out, _ := to.Hear(now, fromName, from.News(toName, entry.ScopeAll))
+	out, _ := to.Merge(now, fromName, from.News(toName, entry.ScopeAll))
 	return out
 }
 
@@ -122,7 +122,7 @@
 	near.Admit("team", 5)
 	far.Admit("team", 7)
 	exchange(start, near, reader, "near", "reader")
-	reader.Hear(start, "far-reader", []conn.Tally{far.Own()})
+	reader.Merge(start, "far-reader", []conn.Tally{far.Own()})
 	names := func(of entry.Scope) (out []string) {
 		for _, x := range reader.News("other-reader", of) {
 			out = append(out, x.Daemon)
@@ -138,12 +138,12 @@
 func TestWhatADaemonRepeatsToAnotherReaderIsPassedOn(t *testing.T) {
 	daemon, old, next := tallies("daemon", 1), tallies("old", 1), tallies("next", 1)
 	daemon.Admit("team", 5)
-	old.Hear(start, "daemon", []conn.Tally{daemon.Own()})
+	old.Merge(start, "daemon", []conn.Tally{daemon.Own()})
 	_, by := old.Since(0, entry.ScopeDirect)
-	next.Hear(start, "", by)
+	next.Merge(start, "", by)
 	edit, told := next.Since(0, entry.ScopeDirect)
 	assert.Len(t, told, 1, "its own")
-	next.Hear(start, "daemon", []conn.Tally{daemon.Own()})
+	next.Merge(start, "daemon", []conn.Tally{daemon.Own()})
 	_, told = next.Since(edit, entry.ScopeDirect)
 	assert.Len(t, told, 1)
 	assert.Equal(t, map[string]int64{"team": 5}, told[0].Admit)
--- a/entry/tallyexchange.go
+++ b/entry/tallyexchange.go
@@ -195,7 +195,7 @@
 // merged.
 func (d *Daemon) takeTallies(now time.Time, from string, in []conn.Tally) (whole bool) {
 	d.recordAdmissionReport(now)
-	admitted, whole := d.tallies.Hear(now, from, in)
+	admitted, whole := d.tallies.Merge(now, from, in)
 	d.chargeAll(now, admitted)
 	return whole
 }
--- a/entry/tallymodel_test.go
+++ b/entry/tallymodel_test.go
@@ -45,7 +45,7 @@
 func (c *counters) tell(i int) {
 	name := c.names[i]
 	if r := c.reader[i%3]; r != name {
-		in, _ := c.tallies[r].Hear(c.now, name, []conn.Tally{c.tallies[name].Own()})
+		in, _ := c.tallies[r].Merge(c.now, name, []conn.Tally{c.tallies[name].Own()})
 		c.charge(r, in)
 	}
 }
@@ -66,7 +66,7 @@
 	if lost {
 		return
 	}
-	in, whole := c.tallies[to].Hear(c.now, "", decoded(tallies))
+	in, whole := c.tallies[to].Merge(c.now, "", decoded(tallies))
 	c.charge(to, in)
 	c.told[f] = edit
 	if !whole {
@@ -114,7 +114,7 @@
 			"stray": func(t *rapid.T) { // to another zone's reader
 				name, r := c.names[daemon.Draw(t, "d")], c.reader[zone.Draw(t, "zone")]
 				if name != r {
-					in, _ := c.tallies[r].Hear(c.now, name, []conn.Tally{c.tallies[name].Own()})
+					in, _ := c.tallies[r].Merge(c.now, name, []conn.Tally{c.tallies[name].Own()})
 					c.charge(r, in)
 				}
 			},
--- a/entry/tallytrial_test.go
+++ b/entry/tallytrial_test.go
@@ -22,10 +22,10 @@
 	b.Try(4, "r/x", "i-1", one) // of another order
 	now := time.Unix(2000, 0)
 	edit, news := a.Since(0, 0)
-	b.Hear(now, "a", decoded(news))
+	b.Merge(now, "a", decoded(news))
 	a.Try(41, "r/x", "i-2", one)
 	_, news = a.Since(edit, 0)
-	b.Hear(now, "a", decoded(news))
+	b.Merge(now, "a", decoded(news))
 
 	c := b.Trials(41)
 	assert.Len(t, c.Old, 1)
