--- a/entry/daemon.go
+++ b/entry/daemon.go
@@ -300,7 +300,7 @@
 	d.run(func() { d.tellSends(d.ctx) })
 	d.every(resendPeriod, func(now time.Time) {
 		for _, name := range d.Hub.Mesh.NeighbourNames() {
-			d.tallies.Lost(name)
+			d.tallies.ForgetNeighbour(name)
 		}
 		d.tallies.Tick(now, d.Hub.Mesh.Members())
 	})
--- a/entry/tally.go
+++ b/entry/tally.go
@@ -163,8 +163,8 @@
 	return out
 }
 
-// Lost forgets what a neighbour was sent, after a link to it was lost.
-func (t *Tallies) Lost(neighbour string) {
+// ForgetNeighbour forgets what a neighbour was sent, after a link to it was lost.
+func (t *Tallies) ForgetNeighbour(neighbour string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	delete(t.sent, neighbour)
