--- a/entry/daemon.go
+++ b/entry/daemon.go
@@ -302,7 +302,7 @@
 		for _, name := range d.Hub.Mesh.NeighbourNames() {
 			d.tallies.ForgetNeighbour(name)
 		}
-		d.tallies.Tick(now, d.Hub.Mesh.Members())
+		d.tallies.Expire(now, d.Hub.Mesh.Members())
 	})
 }
 
--- a/entry/tally.go
+++ b/entry/tally.go
@@ -290,9 +290,9 @@
 // tallyTTL is how long the tally of a dead daemon is kept.
 const tallyTTL = time.Minute
 
-// Tick drops old tallies of daemons that are not alive. The tally of an idle daemon that is alive must stay:
+// Expire drops old tallies of daemons that are not alive. The tally of an idle daemon that is alive must stay:
 // otherwise everything that it ever admitted would be counted again with its next tally.
-func (t *Tallies) Tick(now time.Time, alive []conn.Member) {
+func (t *Tallies) Expire(now time.Time, alive []conn.Member) {
 	living := make(map[daemonStart]bool, len(alive))
 	for _, m := range alive {
 		living[daemonStart{m.Name, m.Start}] = true
--- a/entry/tally_test.go
+++ b/entry/tally_test.go
@@ -157,10 +157,10 @@
 	idle.Admit("team", 1000)
 	assert.Equal(t, []entry.Admitted{{Team: "team", Units: 1000}}, exchange(start, idle, reader, "idle", "reader"))
 	now := start.Add(2 * time.Minute)
-	reader.Tick(now, alive)
+	reader.Expire(now, alive)
 	idle.Admit("team", 7)
 	assert.Equal(t, []entry.Admitted{{Team: "team", Units: 7}}, exchange(now, idle, reader, "idle", "reader"))
-	reader.Tick(now.Add(2*time.Minute), alive[1:])
+	reader.Expire(now.Add(2*time.Minute), alive[1:])
 	assert.Empty(t, reader.News("other", entry.ScopeAll), "one that has gone is")
 }
 
--- a/entry/tallymodel_test.go
+++ b/entry/tallymodel_test.go
@@ -128,7 +128,7 @@
 			"idle": func(*rapid.T) {
 				c.now = c.now.Add(2 * time.Minute)
 				for _, x := range c.tallies {
-					x.Tick(c.now, c.members())
+					x.Expire(c.now, c.members())
 				}
 			},
 			"": func(t *rapid.T) {},
