--- a/entry/tally.go
+++ b/entry/tally.go
@@ -137,8 +137,8 @@
 	return n
 }
 
-// News returns the tallies that a neighbour has not been sent yet.
-func (t *Tallies) News(neighbour string, of Scope) []conn.Tally {
+// Unsent returns the tallies that a neighbour has not been sent yet.
+func (t *Tallies) Unsent(neighbour string, of Scope) []conn.Tally {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	sent := t.sent[neighbour]
--- a/entry/tally_test.go
+++ b/entry/tally_test.go
@@ -21,7 +21,7 @@
 
 // exchange has one tell another what is news to it.
 func exchange(now time.Time, from, to *entry.Tallies, fromName, toName string) []entry.Admitted {
-	out, _ := to.Merge(now, fromName, from.News(toName, entry.ScopeAll))
+	out, _ := to.Merge(now, fromName, from.Unsent(toName, entry.ScopeAll))
 	return out
 }
 
@@ -124,7 +124,7 @@
 	exchange(start, near, reader, "near", "reader")
 	reader.Merge(start, "far-reader", []conn.Tally{far.Own()})
 	names := func(of entry.Scope) (out []string) {
-		for _, x := range reader.News("other-reader", of) {
+		for _, x := range reader.Unsent("other-reader", of) {
 			out = append(out, x.Daemon)
 		}
 		return out
@@ -161,7 +161,7 @@
 	idle.Admit("team", 7)
 	assert.Equal(t, []entry.Admitted{{Team: "team", Units: 7}}, exchange(now, idle, reader, "idle", "reader"))
 	reader.Expire(now.Add(2*time.Minute), alive[1:])
-	assert.Empty(t, reader.News("other", entry.ScopeAll), "one that has gone is")
+	assert.Empty(t, reader.Unsent("other", entry.ScopeAll), "one that has gone is")
 }
 
 // A daemon that becomes its zone's reader has counted what others admit by its former
--- a/entry/tallyexchange.go
+++ b/entry/tallyexchange.go
@@ -66,7 +66,7 @@
 	d.countRunning()
 	if !d.largeFleet() {
 		for _, name := range d.Hub.Mesh.NeighbourNames() {
-			if news := d.tallies.News(name, ScopeAll); len(news) > 0 {
+			if news := d.tallies.Unsent(name, ScopeAll); len(news) > 0 {
 				d.Hub.Give(name, conn.Payload{Tallies: news})
 			}
 		}
@@ -188,7 +188,7 @@
 		return nil, err
 	}
 	d.takeTallies(clock.Now(), from, in)
-	return conn.Marshal(d.tallies.News(from, ScopeDirect)), nil
+	return conn.Marshal(d.tallies.Unsent(from, ScopeDirect)), nil
 }
 
 // takeTallies merges tallies and charges the teams for new admissions. It reports whether all could be
