--- a/entry/peers.go
+++ b/entry/peers.go
@@ -239,7 +239,7 @@
 	if a.Source != "" {
 		d.recordAdmissionReport(clock.Now())
 		if !d.isReader() {
-			d.tallies.CountedElsewhere()
+			d.tallies.SuspendCounting()
 		}
 		d.chargeAll(clock.Now(), d.flow.Take(clock.Now(), a.Source, a.Flow))
 	}
--- a/entry/tally.go
+++ b/entry/tally.go
@@ -242,9 +242,9 @@
 	return out, whole
 }
 
-// CountedElsewhere records that admissions of other daemons are counted from a reader's sums. When tallies
+// SuspendCounting records that admissions of other daemons are counted from a reader's sums. When tallies
 // arrive again, the first of each daemon is a baseline and only later growth counts.
-func (t *Tallies) CountedElsewhere() {
+func (t *Tallies) SuspendCounting() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.countedElsewhere = true
--- a/entry/tally_test.go
+++ b/entry/tally_test.go
@@ -173,12 +173,12 @@
 	young := tallies("young", start.Add(time.Minute).UnixMilli())
 	young.Admit("team", 1000)
 	now := start.Add(2 * time.Minute)
-	next.CountedElsewhere()
+	next.SuspendCounting()
 	assert.Empty(t, exchange(now, young, next, "young", "next"))
 	young.Admit("team", 7)
 	assert.Equal(t, []entry.Admitted{{Team: "team", Units: 7}}, exchange(now, young, next, "young", "next"))
 
-	next.CountedElsewhere() // another reads for a while
+	next.SuspendCounting() // another reads for a while
 	young.Admit("team", 500)
 	assert.Empty(t, exchange(now.Add(time.Minute), young, next, "young", "next"), "counted meanwhile")
 	newest := tallies("newest", now.Add(2*time.Minute).UnixMilli())
