--- a/entry/outage.go
+++ b/entry/outage.go
@@ -38,7 +38,7 @@
 
 // Word is the outcome of a query to another daemon.
 type Word struct {
-	Reader  ReaderWord
+	Reader  ReaderStatus
 	Asked   time.Time
 	Catalog time.Time // when its catalog is known to have been current
 	Listed  time.Time // the same of its list of endpoints
--- a/entry/peers.go
+++ b/entry/peers.go
@@ -170,7 +170,7 @@
 // recordReader records the outcome of a query to a reader. A reader whose reads fail proves nothing about
 // expired entries, since the readers themselves may be cut off; once all fail, this daemon reads the store
 // and finds out. A reader whose reads succeed ends an outage that this daemon has recorded.
-func (d *Daemon) recordReader(at int, name string, w ReaderWord) {
+func (d *Daemon) recordReader(at int, name string, w ReaderStatus) {
 	if d.readerTurn.Heard(at, w) {
 		d.log.WithFields(logrus.Fields{
 			"part": "peers", "reader": name, "word": w.String(), "failed_in_a_row": d.readerTurn.Failed(),
@@ -183,7 +183,7 @@
 
 // syncWithPeer queries one daemon and returns the state of its reads. If that daemon has a newer catalog, syncWithPeer
 // fetches it piece by piece, from one daemon at a time, as a link has room for one catalog.
-func (d *Daemon) syncWithPeer(ctx context.Context, name string) ReaderWord {
+func (d *Daemon) syncWithPeer(ctx context.Context, name string) ReaderStatus {
 	fetch := false
 	for {
 		w, more := d.queryPeer(ctx, name, fetch)
--- a/entry/readers.go
+++ b/entry/readers.go
@@ -103,19 +103,19 @@
 // is queried again.
 const returnAfterAnswers = 10
 
-// ReaderWord is the outcome of a query to a reader.
-type ReaderWord int
+// ReaderStatus is the outcome of a query to a reader.
+type ReaderStatus int
 
 // Outcomes of a query to a reader.
 const (
-	ReaderSilent  ReaderWord = iota // no answer
-	ReaderFailing                   // its reads of the store fail
-	ReaderWell                      // its reads of the store succeed
-	ReaderEmpty                     // its reads succeed, but the store holds no configuration yet
+	ReaderSilent  ReaderStatus = iota // no answer
+	ReaderFailing                     // its reads of the store fail
+	ReaderWell                        // its reads of the store succeed
+	ReaderEmpty                       // its reads succeed, but the store holds no configuration yet
 )
 
 // String returns the outcome's name.
-func (w ReaderWord) String() string { return [...]string{"silent", "failing", "well", "empty"}[w] }
+func (w ReaderStatus) String() string { return [...]string{"silent", "failing", "well", "empty"}[w] }
 
 // ReaderTurn selects the reader to query: the same one while its answers are good, then the next. The zero
 // value starts with the first reader.
@@ -138,7 +138,7 @@
 
 // Heard records the outcome of a query to the reader at an index, and reports whether another reader is
 // queried from now on.
-func (t *ReaderTurn) Heard(at int, w ReaderWord) bool {
+func (t *ReaderTurn) Heard(at int, w ReaderStatus) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if at != t.at {
