--- a/entry/peers.go
+++ b/entry/peers.go
@@ -139,7 +139,7 @@
 		d.run(func() {
 			w := d.syncWithPeer(ctx, readers[at])
 			d.recordReader(at, readers[at], w)
-			if w != ReaderWell && w != ReaderEmpty {
+			if w != ReaderOK && w != ReaderEmpty {
 				d.askWitnesses(ctx, readers[at])
 			}
 		})
@@ -176,7 +176,7 @@
 			"part": "peers", "reader": name, "word": w.String(), "failed_in_a_row": d.readerTurn.Failed(),
 		}).Info("another reader is asked from now on")
 	}
-	if w == ReaderWell {
+	if w == ReaderOK {
 		d.runners.storeBack(clock.Now())
 	}
 }
@@ -245,7 +245,7 @@
 	}
 	if a.Known {
 		w.Catalog, w.Listed = sent.Add(-a.Age), sent.Add(-a.Listed)
-		w.Reader = ReaderWell // else it has just started
+		w.Reader = ReaderOK // else it has just started
 	}
 	if a.Empty {
 		w.Reader = ReaderEmpty
--- a/entry/readers.go
+++ b/entry/readers.go
@@ -110,7 +110,7 @@
 const (
 	ReaderSilent  ReaderStatus = iota // no answer
 	ReaderFailing                     // its reads of the store fail
-	ReaderWell                        // its reads of the store succeed
+	ReaderOK                          // its reads of the store succeed
 	ReaderEmpty                       // its reads succeed, but the store holds no configuration yet
 )
 
@@ -147,7 +147,7 @@
 	if w == ReaderEmpty {
 		return false // no other reader has more
 	}
-	if w != ReaderWell {
+	if w != ReaderOK {
 		t.at++
 		t.fails++
 		t.good = 0
