--- a/entry/daemon.go
+++ b/entry/daemon.go
@@ -83,7 +83,7 @@
 	wall           *Wall
 	contact        contact
 	lastRoster     atomic.Pointer[Roster]
-	readerTurn     ReaderTurn
+	readerTurn     ReaderSelector
 	feeds          tallyFeeds
 	outage         Outage
 	fetching       sync.Mutex    // held while the pieces of a catalog are fetched from another daemon
--- a/entry/outage_test.go
+++ b/entry/outage_test.go
@@ -70,7 +70,7 @@
 }
 
 func TestReadersAreAskedInTurn(t *testing.T) {
-	var turn entry.ReaderTurn
+	var turn entry.ReaderSelector
 	assert.Equal(t, 0, turn.Next(3))
 	assert.True(t, turn.Heard(0, entry.ReaderFailing))
 	assert.False(t, turn.Heard(0, entry.ReaderFailing))
--- a/entry/readers.go
+++ b/entry/readers.go
@@ -117,9 +117,9 @@
 // String returns the outcome's name.
 func (w ReaderStatus) String() string { return [...]string{"silent", "failing", "well", "empty"}[w] }
 
-// ReaderTurn selects the reader to query: the same one while its answers are good, then the next. The zero
+// ReaderSelector selects the reader to query: the same one while its answers are good, then the next. The zero
 // value starts with the first reader.
-type ReaderTurn struct {
+type ReaderSelector struct {
 	mu    sync.Mutex
 	at    int
 	fails int // consecutive failures, each of another reader
@@ -127,7 +127,7 @@
 }
 
 // Next returns the index of the reader to query among count.
-func (t *ReaderTurn) Next(count int) int {
+func (t *ReaderSelector) Next(count int) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.at >= count {
@@ -138,7 +138,7 @@
 
 // Heard records the outcome of a query to the reader at an index, and reports whether another reader is
 // queried from now on.
-func (t *ReaderTurn) Heard(at int, w ReaderStatus) bool {
+func (t *ReaderSelector) Heard(at int, w ReaderStatus) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if at != t.at {
@@ -161,7 +161,7 @@
 }
 
 // Failed returns how many readers in a row have failed.
-func (t *ReaderTurn) Failed() int {
+func (t *ReaderSelector) Failed() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.fails
