--- a/entry/outage_test.go
+++ b/entry/outage_test.go
@@ -72,18 +72,18 @@
 func TestReadersAreAskedInTurn(t *testing.T) {
 	var turn entry.ReaderSelector
 	assert.Equal(t, 0, turn.Next(3))
-	assert.True(t, turn.Heard(0, entry.ReaderFailing))
-	assert.False(t, turn.Heard(0, entry.ReaderFailing))
+	assert.True(t, turn.Record(0, entry.ReaderFailing))
+	assert.False(t, turn.Record(0, entry.ReaderFailing))
 	assert.Equal(t, 1, turn.Failed(), "the same one twice says nothing more")
 	assert.Equal(t, 1, turn.Next(3))
 	for range 9 {
-		assert.False(t, turn.Heard(1, entry.ReaderOK))
+		assert.False(t, turn.Record(1, entry.ReaderOK))
 	}
 	assert.Equal(t, 1, turn.Next(3), "it does well")
-	assert.True(t, turn.Heard(1, entry.ReaderOK))
+	assert.True(t, turn.Record(1, entry.ReaderOK))
 	assert.Equal(t, 0, turn.Next(3), "the zone's own is tried again")
 	assert.Zero(t, turn.Failed())
-	turn.Heard(0, entry.ReaderFailing)
+	turn.Record(0, entry.ReaderFailing)
 	assert.Equal(t, 0, turn.Next(1), "the others have gone")
 }
 
--- a/entry/peers.go
+++ b/entry/peers.go
@@ -171,7 +171,7 @@
 // expired entries, since the readers themselves may be cut off; once all fail, this daemon reads the store
 // and finds out. A reader whose reads succeed ends an outage that this daemon has recorded.
 func (d *Daemon) recordReader(at int, name string, w ReaderStatus) {
-	if d.readerTurn.Heard(at, w) {
+	if d.readerTurn.Record(at, w) {
 		d.log.WithFields(logrus.Fields{
 			"part": "peers", "reader": name, "word": w.String(), "failed_in_a_row": d.readerTurn.Failed(),
 		}).Info("another reader is asked from now on")
--- a/entry/readers.go
+++ b/entry/readers.go
@@ -136,9 +136,9 @@
 	return t.at
 }
 
-// Heard records the outcome of a query to the reader at an index, and reports whether another reader is
+// Record records the outcome of a query to the reader at an index, and reports whether another reader is
 // queried from now on.
-func (t *ReaderSelector) Heard(at int, w ReaderStatus) bool {
+func (t *ReaderSelector) Record(at int, w ReaderStatus) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if at != t.at {
