--- a/entry/outage.go
+++ b/entry/outage.go
@@ -33,11 +33,11 @@
 // congested, so on their own they do not prove that the store is down. The zero value is ready to use.
 type Outage struct {
 	mu    sync.Mutex
-	words map[string]Word
+	words map[string]PeerReport
 }
 
-// Word is the outcome of a query to another daemon.
-type Word struct {
+// PeerReport is the outcome of a query to another daemon.
+type PeerReport struct {
 	Reader  ReaderStatus
 	Asked   time.Time
 	Catalog time.Time // when its catalog is known to have been current
@@ -46,11 +46,11 @@
 
 // Hear records the outcome of a query to a daemon. A query without an answer overrides neither the answer to a
 // later one, nor the known freshness of what the daemon holds.
-func (o *Outage) Hear(name string, w Word) {
+func (o *Outage) Hear(name string, w PeerReport) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.words == nil {
-		o.words = make(map[string]Word)
+		o.words = make(map[string]PeerReport)
 	}
 	old, ok := o.words[name]
 	if ok && w.Asked.Before(old.Asked) {
@@ -68,12 +68,12 @@
 }
 
 // Horizon selects one of the moments of a Word.
-type Horizon func(Word) time.Time
+type Horizon func(PeerReport) time.Time
 
 // Horizons of the catalog and of the list of endpoints.
 var (
-	OfCatalog Horizon = func(w Word) time.Time { return w.Catalog }
-	OfList    Horizon = func(w Word) time.Time { return w.Listed }
+	OfCatalog Horizon = func(w PeerReport) time.Time { return w.Catalog }
+	OfList    Horizon = func(w PeerReport) time.Time { return w.Listed }
 )
 
 // Certain reports whether the store fails for all daemons: at least need of them were queried recently, each
--- a/entry/peers.go
+++ b/entry/peers.go
@@ -203,7 +203,7 @@
 
 // queryPeer sends one query to a daemon and applies its answer. It returns the outcome, and whether the daemon
 // has more of a newer catalog.
-func (d *Daemon) queryPeer(ctx context.Context, name string, fetch bool) (w Word, more bool) {
+func (d *Daemon) queryPeer(ctx context.Context, name string, fetch bool) (w PeerReport, more bool) {
 	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
 	q := freshQuery{Runners: d.runners.current(), Fetch: fetch, Got: d.coming.progress()}
@@ -216,7 +216,7 @@
 		q.Tally = &t
 	}
 	sent := clock.Now()
-	w = Word{Reader: ReaderSilent, Asked: sent}
+	w = PeerReport{Reader: ReaderSilent, Asked: sent}
 	b, err := d.Hub.Ask(ctx, name, askFresh, conn.Marshal(q))
 	d.logAnswer(name, clock.Since(sent), len(b), err)
 	if err != nil {
