--- a/entry/outage.go
+++ b/entry/outage.go
@@ -44,9 +44,9 @@
 	Listed  time.Time // the same of its list of endpoints
 }
 
-// Hear records the outcome of a query to a daemon. A query without an answer overrides neither the answer to a
+// Record records the outcome of a query to a daemon. A query without an answer overrides neither the answer to a
 // later one, nor the known freshness of what the daemon holds.
-func (o *Outage) Hear(name string, w PeerReport) {
+func (o *Outage) Record(name string, w PeerReport) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.words == nil {
--- a/entry/outage_test.go
+++ b/entry/outage_test.go
@@ -182,7 +182,7 @@
 	old, young := now.Add(-3*time.Second), now.Add(-time.Second)
 	var o entry.Outage
 	hear := func(name string, r entry.ReaderStatus, after time.Duration, catalog, listed time.Time) {
-		o.Hear(name, entry.PeerReport{Reader: r, Asked: now.Add(after), Catalog: catalog, Listed: listed})
+		o.Record(name, entry.PeerReport{Reader: r, Asked: now.Add(after), Catalog: catalog, Listed: listed})
 	}
 	certain := func(of entry.Horizon) bool { return o.Certain(now, 2, of, bound) }
 	assert.False(t, certain(entry.OfList), "nobody has been heard")
--- a/entry/peers.go
+++ b/entry/peers.go
@@ -187,7 +187,7 @@
 	fetch := false
 	for {
 		w, more := d.queryPeer(ctx, name, fetch)
-		d.outage.Hear(name, w)
+		d.outage.Record(name, w)
 		if !more || ctx.Err() != nil {
 			return w.Reader
 		}
