--- a/entry/outage.go
+++ b/entry/outage.go
@@ -76,10 +76,10 @@
 	OfList    Horizon = func(w PeerReport) time.Time { return w.Listed }
 )
 
-// Certain reports whether the store fails for all daemons: at least need of them were queried recently, each
+// Confirmed reports whether the store fails for all daemons: at least need of them were queried recently, each
 // reported a failure or did not answer, and at least one reported it. A daemon that holds data younger than
 // bound disproves it, whatever it reports.
-func (o *Outage) Certain(now time.Time, need int, of Horizon, bound time.Duration) bool {
+func (o *Outage) Confirmed(now time.Time, need int, of Horizon, bound time.Duration) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	asked, failing := 0, false
@@ -120,7 +120,7 @@
 	if d.isOnlyDaemon(held) {
 		return d.feedsDown.Load() > 0
 	}
-	return d.outage.Certain(now, min(witnesses, len(d.others())), of, bound)
+	return d.outage.Confirmed(now, min(witnesses, len(d.others())), of, bound)
 }
 
 // catalogCurrent reports whether requests may be admitted with a catalog of some age: it is within its bound,
--- a/entry/outage_test.go
+++ b/entry/outage_test.go
@@ -184,7 +184,7 @@
 	hear := func(name string, r entry.ReaderStatus, after time.Duration, catalog, listed time.Time) {
 		o.Record(name, entry.PeerReport{Reader: r, Asked: now.Add(after), Catalog: catalog, Listed: listed})
 	}
-	certain := func(of entry.Horizon) bool { return o.Certain(now, 2, of, bound) }
+	certain := func(of entry.Horizon) bool { return o.Confirmed(now, 2, of, bound) }
 	assert.False(t, certain(entry.OfList), "nobody has been heard")
 	hear("a", entry.ReaderFailing, 0, old, old)
 	assert.False(t, certain(entry.OfList), "one has not been heard")
@@ -206,5 +206,5 @@
 	hear("b", entry.ReaderSilent, 4*time.Millisecond, time.Time{}, time.Time{})
 	assert.False(t, certain(entry.OfList), "silence may be this daemon's own link")
 	hear("a", entry.ReaderFailing, 5*time.Millisecond, old, old)
-	assert.False(t, o.Certain(now.Add(bound), 2, entry.OfList, bound), "words are believed for 1.35 s")
+	assert.False(t, o.Confirmed(now.Add(bound), 2, entry.OfList, bound), "words are believed for 1.35 s")
 }
