--- a/entry/outage.go
+++ b/entry/outage.go
@@ -67,19 +67,19 @@
 	}
 }
 
-// Horizon selects one of the moments of a Word.
-type Horizon func(PeerReport) time.Time
+// ReportTime selects one of the moments of a Word.
+type ReportTime func(PeerReport) time.Time
 
 // Horizons of the catalog and of the list of endpoints.
 var (
-	OfCatalog Horizon = func(w PeerReport) time.Time { return w.Catalog }
-	OfList    Horizon = func(w PeerReport) time.Time { return w.Listed }
+	OfCatalog ReportTime = func(w PeerReport) time.Time { return w.Catalog }
+	OfList    ReportTime = func(w PeerReport) time.Time { return w.Listed }
 )
 
 // Confirmed reports whether the store fails for all daemons: at least need of them were queried recently, each
 // reported a failure or did not answer, and at least one reported it. A daemon that holds data younger than
 // bound disproves it, whatever it reports.
-func (o *Outage) Confirmed(now time.Time, need int, of Horizon, bound time.Duration) bool {
+func (o *Outage) Confirmed(now time.Time, need int, of ReportTime, bound time.Duration) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	asked, failing := 0, false
@@ -116,7 +116,7 @@
 }
 
 // outageFor reports whether the store fails for all, so that no data younger than this daemon's can be had.
-func (d *Daemon) outageFor(now time.Time, held *Freshness, of Horizon, bound time.Duration) bool {
+func (d *Daemon) outageFor(now time.Time, held *Freshness, of ReportTime, bound time.Duration) bool {
 	if d.isOnlyDaemon(held) {
 		return d.feedsDown.Load() > 0
 	}
--- a/entry/outage_test.go
+++ b/entry/outage_test.go
@@ -184,7 +184,7 @@
 	hear := func(name string, r entry.ReaderStatus, after time.Duration, catalog, listed time.Time) {
 		o.Record(name, entry.PeerReport{Reader: r, Asked: now.Add(after), Catalog: catalog, Listed: listed})
 	}
-	certain := func(of entry.Horizon) bool { return o.Confirmed(now, 2, of, bound) }
+	certain := func(of entry.ReportTime) bool { return o.Confirmed(now, 2, of, bound) }
 	assert.False(t, certain(entry.OfList), "nobody has been heard")
 	hear("a", entry.ReaderFailing, 0, old, old)
 	assert.False(t, certain(entry.OfList), "one has not been heard")
