--- a/entry/outage.go
+++ b/entry/outage.go
@@ -72,8 +72,8 @@
 
 // Horizons of the catalog and of the list of endpoints.
 var (
-	OfCatalog ReportTime = func(w PeerReport) time.Time { return w.Catalog }
-	OfList    ReportTime = func(w PeerReport) time.Time { return w.Listed }
+	CatalogTime ReportTime = func(w PeerReport) time.Time { return w.Catalog }
+	OfList      ReportTime = func(w PeerReport) time.Time { return w.Listed }
 )
 
 // Confirmed reports whether the store fails for all daemons: at least need of them were queried recently, each
@@ -128,7 +128,7 @@
 // which configuration spreads.
 func (d *Daemon) catalogCurrent(now time.Time, age time.Duration) bool {
 	bound := d.Site().Bounds.Configuration
-	return age <= bound || d.outageFor(now, &d.catalog.fresh, OfCatalog, bound)
+	return age <= bound || d.outageFor(now, &d.catalog.fresh, CatalogTime, bound)
 }
 
 // isOnlyDaemon reports whether there is no other daemon: there never was one, except for some that stopped as planned,
--- a/entry/outage_test.go
+++ b/entry/outage_test.go
@@ -189,7 +189,7 @@
 	hear("a", entry.ReaderFailing, 0, old, old)
 	assert.False(t, certain(entry.OfList), "one has not been heard")
 	hear("b", entry.ReaderOK, 0, old, young)
-	assert.True(t, certain(entry.OfCatalog), "what it holds is as old")
+	assert.True(t, certain(entry.CatalogTime), "what it holds is as old")
 	assert.False(t, certain(entry.OfList), "one is served")
 	hear("b", entry.ReaderSilent, time.Millisecond, time.Time{}, time.Time{})
 	assert.False(t, certain(entry.OfList), "its silence does not make older what it holds")
