--- a/entry/outage.go
+++ b/entry/outage.go
@@ -73,7 +73,7 @@
 // Horizons of the catalog and of the list of endpoints.
 var (
 	CatalogTime ReportTime = func(w PeerReport) time.Time { return w.Catalog }
-	OfList      ReportTime = func(w PeerReport) time.Time { return w.Listed }
+	ListTime    ReportTime = func(w PeerReport) time.Time { return w.Listed }
 )
 
 // Confirmed reports whether the store fails for all daemons: at least need of them were queried recently, each
@@ -146,7 +146,7 @@
 // served recently disproves it, this daemon first of all.
 func (d *Daemon) noteOutage(now time.Time) {
 	age, _ := d.runners.fresh.Age(now)
-	if d.feedsDown.Load() > 0 && age > recentlyServedAge && d.outageFor(now, &d.runners.fresh, OfList, recentlyServedAge) {
+	if d.feedsDown.Load() > 0 && age > recentlyServedAge && d.outageFor(now, &d.runners.fresh, ListTime, recentlyServedAge) {
 		d.runners.storeFailed(now)
 	}
 }
@@ -162,7 +162,7 @@
 	if bound := d.listBound(); known && age <= bound {
 		return now.Add(bound - age), true
 	}
-	return time.Time{}, known && d.outageFor(now, &d.runners.fresh, OfList, d.listBound())
+	return time.Time{}, known && d.outageFor(now, &d.runners.fresh, ListTime, d.listBound())
 }
 
 // late reports whether data is so close to its bound that a daemon tries every source for a younger copy.
