--- a/entry/flow.go
+++ b/entry/flow.go
@@ -112,9 +112,9 @@
 // be cut off.
 func (f Fleet) Apart() bool { return f.Known > 1 && 2*f.Alive <= f.Known }
 
-// Untold reports whether a daemon uses less of a limit than it will once it has learned the number of daemons
+// Uninformed reports whether a daemon uses less of a limit than it will once it has learned the number of daemons
 // and what they admit.
-func (f Fleet) Untold() bool { return !f.Counted || f.Unheard && f.Sharers() > fullMesh }
+func (f Fleet) Uninformed() bool { return !f.Counted || f.Unheard && f.Sharers() > fullMesh }
 
 // LimitShare returns the fraction of a limit over all daemons that one may use: the fraction of the fleet that
 // it reaches, or its own share while it reaches no other. When each of 77 daemons that were killed together
@@ -123,7 +123,7 @@
 func (f Fleet) LimitShare() float64 {
 	known := f.Sharers()
 	alive := max(f.Alive, 1)
-	if f.CutOff || f.Untold() {
+	if f.CutOff || f.Uninformed() {
 		alive = 1
 	}
 	return float64(alive) / float64(known)
