--- a/entry/contact.go
+++ b/entry/contact.go
@@ -84,7 +84,7 @@
 // fleet returns what this daemon knows of the others.
 func (d *Daemon) fleet() Fleet {
 	first := d.Site().First
-	f := Fleet{CutOff: d.contact.cutOff.Load(), Counted: first || d.contact.counted.Load(), Unheard: !first && d.contact.noReport()}
+	f := Fleet{CutOff: d.contact.cutOff.Load(), Counted: first || d.contact.counted.Load(), NoReports: !first && d.contact.noReport()}
 	f.Alive, f.Known = d.Hub.Mesh.Counts()
 	return f
 }
--- a/entry/flow.go
+++ b/entry/flow.go
@@ -96,7 +96,7 @@
 	Alive, Known int  // number of daemons, including this one
 	CutOff       bool // none of the others is reached
 	Counted      bool // the number of daemons has been read, or the whole system has just started
-	Unheard      bool // restarted, and no report yet of what others admit
+	NoReports    bool // restarted, and no report yet of what others admit
 }
 
 // Sharers returns the number of daemons that a limit is divided among. It includes those that are not
@@ -114,7 +114,7 @@
 
 // Uninformed reports whether a daemon uses less of a limit than it will once it has learned the number of daemons
 // and what they admit.
-func (f Fleet) Uninformed() bool { return !f.Counted || f.Unheard && f.Sharers() > fullMesh }
+func (f Fleet) Uninformed() bool { return !f.Counted || f.NoReports && f.Sharers() > fullMesh }
 
 // LimitShare returns the fraction of a limit over all daemons that one may use: the fraction of the fleet that
 // it reaches, or its own share while it reaches no other. When each of 77 daemons that were killed together
--- a/entry/flow_test.go
+++ b/entry/flow_test.go
@@ -64,13 +64,13 @@
 }
 
 func TestWhoHasStartedAnewUsesItsOwnPartUntilItHearsTheOthers(t *testing.T) {
-	f := entry.Fleet{Alive: 80, Known: 80, Counted: true, Unheard: true}
+	f := entry.Fleet{Alive: 80, Known: 80, Counted: true, NoReports: true}
 	assert.InDelta(t, 1.0/80, f.LimitShare(), 1e-9)
-	f.Unheard = false
+	f.NoReports = false
 	assert.InDelta(t, 1, f.LimitShare(), 0)
 	assert.LessOrEqual(t, entry.Fleet{Alive: 1, Known: 1}.LimitShare(), 1.0/16, "how many there are is not known")
-	assert.InDelta(t, 1, entry.Fleet{Alive: 1, Known: 1, Counted: true, Unheard: true}.LimitShare(), 0, "there is no other")
-	assert.InDelta(t, 1, entry.Fleet{Alive: 7, Known: 7, Counted: true, Unheard: true}.LimitShare(), 0, "a few hear of each other at once")
+	assert.InDelta(t, 1, entry.Fleet{Alive: 1, Known: 1, Counted: true, NoReports: true}.LimitShare(), 0, "there is no other")
+	assert.InDelta(t, 1, entry.Fleet{Alive: 7, Known: 7, Counted: true, NoReports: true}.LimitShare(), 0, "a few hear of each other at once")
 }
 
 func TestManyThatStartAnewDoNotPassALimitTogether(t *testing.T) {
@@ -80,7 +80,7 @@
 	for range daemons {
 		q := entry.NewQuotas(false)
 		for at := time.Duration(0); at < time.Second; at += 10 * time.Millisecond {
-			f := entry.Fleet{Alive: daemons, Known: daemons, Counted: at > 100*time.Millisecond, Unheard: true}
+			f := entry.Fleet{Alive: daemons, Known: daemons, Counted: at > 100*time.Millisecond, NoReports: true}
 			if _, ok := q.Admit(start.Add(at), team, 1, f.LimitShare()); ok {
 				admitted++
 			}
