--- a/entry/crashes.go
+++ b/entry/crashes.go
@@ -62,7 +62,7 @@
 			sleep(ctx, tickPeriod)
 		}
 		switch {
-		case due && (!d.largeFleet() || d.isReader()), d.fleet().Apart():
+		case due && (!d.largeFleet() || d.isReader()), d.fleet().InMinority():
 			due = !d.Server.Holds.Load(ctx) && due
 		default:
 			due = false
--- a/entry/flow.go
+++ b/entry/flow.go
@@ -108,9 +108,9 @@
 	return max(f.Known, 1)
 }
 
-// Apart reports whether a daemon reaches at most half of those that it knows, so that it rather than they may
+// InMinority reports whether a daemon reaches at most half of those that it knows, so that it rather than they may
 // be cut off.
-func (f Fleet) Apart() bool { return f.Known > 1 && 2*f.Alive <= f.Known }
+func (f Fleet) InMinority() bool { return f.Known > 1 && 2*f.Alive <= f.Known }
 
 // Uninformed reports whether a daemon uses less of a limit than it will once it has learned the number of daemons
 // and what they admit.
--- a/entry/permits.go
+++ b/entry/permits.go
@@ -90,7 +90,7 @@
 // grantFraction returns the fraction of each limit that this daemon grants: all of it, unless it reaches so few other
 // daemons that those may have chosen another owner.
 func (k *permitGranter) grantFraction() float64 {
-	if f := k.d.fleet(); f.Apart() {
+	if f := k.d.fleet(); f.InMinority() {
 		return f.LimitShare()
 	}
 	return 1
