--- a/entry/daemon.go
+++ b/entry/daemon.go
@@ -61,7 +61,7 @@
 	runners        endpointTracker
 	tallies        *Tallies
 	quotas         *Quotas
-	flow           FlowReader
+	flow           FlowEstimator
 	sends          sendQueue
 	duties         *duties
 	rollouts       rolloutController
--- a/entry/flow.go
+++ b/entry/flow.go
@@ -21,10 +21,10 @@
 	cutOffAfter = 1500 * time.Millisecond
 )
 
-// FlowReader tracks what other daemons admit from the reports of one reader at a time. Two reports of the
+// FlowEstimator tracks what other daemons admit from the reports of one reader at a time. Two reports of the
 // same reader give exactly what was admitted between them. Until the next report, and when the reader changes,
 // whose sums have another origin, it assumes the rate seen before. The zero value is ready to use.
-type FlowReader struct {
+type FlowEstimator struct {
 	mu      sync.Mutex
 	source  string // the reader's process
 	seen    map[string]int64
@@ -34,7 +34,7 @@
 }
 
 // Take returns the units to charge on a reader's report, which holds what others have admitted, by team.
-func (f *FlowReader) Take(now time.Time, source string, flow map[string]int64) []Admitted {
+func (f *FlowEstimator) Take(now time.Time, source string, flow map[string]int64) []Admitted {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	gap := now.Sub(f.at)
@@ -60,14 +60,14 @@
 }
 
 // Forget resets the state, for a daemon that now learns in another way what others admit.
-func (f *FlowReader) Forget() {
+func (f *FlowEstimator) Forget() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.source, f.seen, f.at, f.assumed = "", nil, time.Time{}, nil
 }
 
 // Assume returns the units to charge because no report has arrived for a while.
-func (f *FlowReader) Assume(now time.Time) []Admitted {
+func (f *FlowEstimator) Assume(now time.Time) []Admitted {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	gap := now.Sub(f.at)
--- a/entry/flow_test.go
+++ b/entry/flow_test.go
@@ -21,7 +21,7 @@
 }
 
 func TestAChangeOfReadersLosesNothing(t *testing.T) {
-	var f entry.FlowReader
+	var f entry.FlowEstimator
 	now, sum := start, int64(0)
 	word := func(source string, base int64) {
 		now = now.Add(500 * time.Millisecond)
@@ -40,7 +40,7 @@
 }
 
 func TestWhileNoReaderIsHeardOthersAreTakenToGoOn(t *testing.T) {
-	var f entry.FlowReader
+	var f entry.FlowEstimator
 	at := func(d time.Duration) time.Time { return start.Add(d) }
 	assert.Empty(t, f.Assume(at(0)), "nothing is known yet")
 	f.Take(at(0), "a", map[string]int64{"team": 0})
