--- a/entry/peers.go
+++ b/entry/peers.go
@@ -266,7 +266,7 @@
 	now := clock.Now()
 	d.quotas.Adopt(now, d.teams(), a.Levels)
 	if a.Day != 0 {
-		d.wall.Tell(now, time.Unix(0, a.Day).Add(now.Sub(sent)/2))
+		d.wall.Set(now, time.Unix(0, a.Day).Add(now.Sub(sent)/2))
 	}
 }
 
--- a/entry/wall.go
+++ b/entry/wall.go
@@ -58,8 +58,8 @@
 	return 0, false, false
 }
 
-// Tell sets the time of day to that of a daemon that has run for longer.
-func (w *Wall) Tell(now, day time.Time) {
+// Set sets the time of day to that of a daemon that has run for longer.
+func (w *Wall) Set(now, day time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.at, w.day, w.since = now, day.Round(0), time.Time{}
--- a/entry/wall_test.go
+++ b/entry/wall_test.go
@@ -50,7 +50,7 @@
 
 func TestADaemonThatStartsWithinAStepTakesAnothersTime(t *testing.T) {
 	w := entry.NewWall(start, start.Add(-3*time.Second))
-	w.Tell(start.Add(time.Second), start.Add(time.Second))
+	w.Set(start.Add(time.Second), start.Add(time.Second))
 	assert.Zero(t, run(w, 2*time.Second, 8*time.Second, -3*time.Second))
 	assert.Zero(t, run(w, 8*time.Second, 20*time.Second, 0))
 }
