--- a/entry/overlimit_test.go
+++ b/entry/overlimit_test.go
@@ -35,7 +35,7 @@
 	for now := start; now.Sub(start) < span; now = now.Add(step) {
 		for i, q := range quotas {
 			for len(news[i]) > 0 && !news[i][0].at.After(now) {
-				q.Others(now, &team, news[i][0].units, 1)
+				q.ChargeRemote(now, &team, news[i][0].units, 1)
 				news[i] = news[i][1:]
 			}
 		}
--- a/entry/quota.go
+++ b/entry/quota.go
@@ -132,8 +132,8 @@
 	}
 }
 
-// Others takes what other daemons have admitted from a team's bucket.
-func (q *Quotas) Others(now time.Time, t *version.Tenant, units, share float64) {
+// ChargeRemote takes what other daemons have admitted from a team's bucket.
+func (q *Quotas) ChargeRemote(now time.Time, t *version.Tenant, units, share float64) {
 	if t.Rate <= 0 {
 		return
 	}
--- a/entry/tally_test.go
+++ b/entry/tally_test.go
@@ -83,7 +83,7 @@
 	}
 	assert.InDelta(t, 50+990, admitted, 20)
 	now := start.Add(20 * time.Second)
-	q.Others(now, team, 150, 1)
+	q.ChargeRemote(now, team, 150, 1)
 	wait, ok := q.Admit(now, team, 20, 1)
 	assert.False(t, ok)
 	assert.InDelta(t, 1.2, wait.Seconds(), 0.01)
--- a/entry/tallyexchange.go
+++ b/entry/tallyexchange.go
@@ -209,7 +209,7 @@
 func (d *Daemon) charge(now time.Time, team string, units int64) {
 	if c := d.catalog.get(); c != nil {
 		if t := c.TenantNamed(team); t != nil {
-			d.quotas.Others(now, t, float64(units), d.share())
+			d.quotas.ChargeRemote(now, t, float64(units), d.share())
 		}
 	}
 }
