--- a/entry/contact.go
+++ b/entry/contact.go
@@ -14,7 +14,7 @@
 // contact records how far a daemon is in touch with the others.
 type contact struct {
 	began       time.Time                 // start of the daemon
-	told        chan struct{}             // closed on the first report of what another daemon admits
+	reported    chan struct{}             // closed on the first report of what another daemon admits
 	lastReport  atomic.Int64              // time of the last such report, nanoseconds after began; 0 for never
 	levelsKnown atomic.Bool               // bucket levels were received
 	counted     atomic.Bool               // the number of daemons was read from the store, or received from a daemon that has it
@@ -24,7 +24,7 @@
 	aloneSince  atomic.Pointer[time.Time] // since when no other daemon is alive; nil while one is
 }
 
-func newContact(now time.Time) contact { return contact{began: now, told: make(chan struct{})} }
+func newContact(now time.Time) contact { return contact{began: now, reported: make(chan struct{})} }
 
 // since returns a moment as nanoseconds after began, at least 1 as 0 stands for never.
 func (c *contact) since(now time.Time) int64 { return max(1, int64(now.Sub(c.began))) }
@@ -36,7 +36,7 @@
 func (c *contact) recordReport(now time.Time) (first bool) {
 	first = c.lastReport.Swap(c.since(now)) == 0
 	if first {
-		close(c.told)
+		close(c.reported)
 	}
 	return first
 }
--- a/entry/ingress.go
+++ b/entry/ingress.go
@@ -200,7 +200,7 @@
 	passed, stop := after(fullLimitWait)
 	defer stop()
 	select {
-	case <-s.d.contact.told:
+	case <-s.d.contact.reported:
 	case <-passed:
 	}
 	wait, ok = s.d.quotas.Admit(clock.Now(), t, units, s.d.share())
