--- a/entry/contact.go
+++ b/entry/contact.go
@@ -89,8 +89,8 @@
 	return f
 }
 
-// judgeCutOff updates whether this daemon, in a large fleet, reaches no other.
-func (d *Daemon) judgeCutOff(now time.Time) {
+// updateCutOff updates whether this daemon, in a large fleet, reaches no other.
+func (d *Daemon) updateCutOff(now time.Time) {
 	silent := d.contact.silent(now)
 	cut := d.largeFleet() && silent > cutOffAfter
 	if d.contact.cutOff.Swap(cut) != cut {
--- a/entry/daemon.go
+++ b/entry/daemon.go
@@ -277,7 +277,7 @@
 		d.rollouts.tick(now)
 		d.words.flush(now)
 		d.observeWallClock(now)
-		d.judgeCutOff(now)
+		d.updateCutOff(now)
 		d.contact.noteAlone(now, len(d.Hub.Mesh.Members()) < 2)
 		d.noteOutage(now)
 		d.assumeFlow(now)
