--- a/entry/catalog.go
+++ b/entry/catalog.go
@@ -137,5 +137,5 @@
 // empty reports whether the store was recently known to hold no configuration.
 func (k *catalogTracker) empty(now time.Time) bool {
 	age, ok := k.none.Age(now)
-	return ok && age < emptyLife
+	return ok && age < emptyTTL
 }
--- a/entry/contact.go
+++ b/entry/contact.go
@@ -55,9 +55,9 @@
 	return lost > 0 && now.Sub(c.began)-time.Duration(lost) < readerLossTTL
 }
 
-// emptyLife is how long other daemons leave the store alone after a reader has found no configuration in it:
+// emptyTTL is how long other daemons leave the store alone after a reader has found no configuration in it:
 // some query intervals.
-const emptyLife = time.Second
+const emptyTTL = time.Second
 
 // recordEmpty records that a reader waits for the first configuration.
 func (c *contact) recordEmpty(now time.Time) { c.emptyAt.Store(c.since(now)) }
@@ -65,7 +65,7 @@
 // readerWaits reports whether a reader recently waited for the first configuration.
 func (c *contact) readerWaits(now time.Time) bool {
 	at := c.emptyAt.Load()
-	return at > 0 && now.Sub(c.began)-time.Duration(at) < emptyLife
+	return at > 0 && now.Sub(c.began)-time.Duration(at) < emptyTTL
 }
 
 // noteAlone updates since when no other daemon is alive.
