--- a/entry/ingress.go
+++ b/entry/ingress.go
@@ -184,7 +184,7 @@
 		}
 	}
 	wait, ok := s.d.quotas.Admit(now, t, o.units, s.d.share())
-	if !ok && s.d.fleet().Uninformed() && now.Sub(s.d.began) < youngFor {
+	if !ok && s.d.fleet().Uninformed() && now.Sub(s.d.began) < startupPeriod {
 		wait, ok = s.admitAfterReport(t, o.units)
 	}
 	if !ok {
--- a/entry/peers.go
+++ b/entry/peers.go
@@ -24,8 +24,8 @@
 	// exceeds a limit. For a team at 6 and 9 times its limit, 60 daemons admitted 1,033 and 1,099 requests in
 	// 8 s with manyPause, of 1,025 allowed, and 853 to 888 with quickPause. At four times a limit, 60 daemons
 	// that restart every 2 s admitted 1,076 to 1,188 of 900 allowed in 8 s, and 1,423 with manyPause.
-	quickPause = 150 * time.Millisecond
-	youngFor   = 2 * time.Second
+	quickPause    = 150 * time.Millisecond
+	startupPeriod = 2 * time.Second
 	// startPause is the first interval after a restart until another daemon has reported what is admitted;
 	// it doubles up to the usual one. Until that report a daemon may use only its own share of each limit:
 	// with the usual interval alone, 120 daemons that started together refused all requests of the first
@@ -98,7 +98,7 @@
 	switch {
 	case !d.largeFleet():
 		return peerPause
-	case now.Sub(d.began) < youngFor && (!d.Site().First || d.catalog.get() == nil) || d.quotas.NearLimit(now):
+	case now.Sub(d.began) < startupPeriod && (!d.Site().First || d.catalog.get() == nil) || d.quotas.NearLimit(now):
 		return quickPause
 	}
 	return manyPause
