--- a/entry/daemon.go
+++ b/entry/daemon.go
@@ -283,7 +283,7 @@
 		d.assumeFlow(now)
 		d.updateReady(now)
 	})
-	d.run(func() { d.askEarly(d.ctx) })
+	d.run(func() { d.syncAtStart(d.ctx) })
 	d.run(func() {
 		for d.ctx.Err() == nil {
 			d.askPeers(d.ctx, clock.Now())
--- a/entry/peers.go
+++ b/entry/peers.go
@@ -104,11 +104,11 @@
 	return manyPause
 }
 
-// askEarly queries readers in turn, its own zone's first, until one has reported the time of day and, in a
+// syncAtStart queries readers in turn, its own zone's first, until one has reported the time of day and, in a
 // large fleet, admissions and bucket levels, so that a daemon has them by the time it is ready. It waits
 // until the daemon has a catalog and endpoints: the store serves all daemons in parallel, a reader sends
 // them one after the other over each link.
-func (d *Daemon) askEarly(ctx context.Context) {
+func (d *Daemon) syncAtStart(ctx context.Context) {
 	if d.Site().First {
 		return
 	}
