--- a/entry/daemon.go
+++ b/entry/daemon.go
@@ -286,7 +286,7 @@
 	d.run(func() { d.syncAtStart(d.ctx) })
 	d.run(func() {
 		for d.ctx.Err() == nil {
-			d.askPeers(d.ctx, clock.Now())
+			d.syncWithPeers(d.ctx, clock.Now())
 			sleep(d.ctx, d.askPause(clock.Now()))
 		}
 	})
--- a/entry/peers.go
+++ b/entry/peers.go
@@ -125,8 +125,8 @@
 	}
 }
 
-// askPeers queries a reader, unless this daemon reads the store with success.
-func (d *Daemon) askPeers(ctx context.Context, now time.Time) {
+// syncWithPeers queries a reader, unless this daemon reads the store with success.
+func (d *Daemon) syncWithPeers(ctx context.Context, now time.Time) {
 	old := d.behind(now)
 	if d.isReader() && !old {
 		if d.feedsDown.Load() > 0 {
