--- a/entry/sentprompts.go
+++ b/entry/sentprompts.go
@@ -24,8 +24,8 @@
 	// relayBatchDelay is the same for a reader that forwards prompts of others. A frame costs a weak box more than
 	// its content: with 25 ms, 83 daemons took a fifth more processor time over a day.
 	relayBatchDelay = 60 * time.Millisecond
-	// sendsMost bounds a batch; the oldest are dropped, since engines have read them first.
-	sendsMost = 512
+	// maxBatchedSends bounds a batch; the oldest are dropped, since engines have read them first.
+	maxBatchedSends = 512
 )
 
 // sentBy holds the prompts sent by one daemon.
@@ -74,7 +74,7 @@
 }
 
 // newestSends returns the newest elements, at most sendsMost.
-func newestSends[T any](in []T) []T { return in[max(0, len(in)-sendsMost):] }
+func newestSends[T any](in []T) []T { return in[max(0, len(in)-maxBatchedSends):] }
 
 // take returns and clears the batches by destination: what this zone has sent goes to all, what others have
 // sent only to this zone.
