--- a/entry/daemon.go
+++ b/entry/daemon.go
@@ -297,7 +297,7 @@
 			sleep(d.ctx, d.gossipPause(now))
 		}
 	})
-	d.run(func() { d.tellSends(d.ctx) })
+	d.run(func() { d.broadcastSends(d.ctx) })
 	d.every(resendPeriod, func(now time.Time) {
 		for _, name := range d.Hub.Mesh.NeighbourNames() {
 			d.tallies.ForgetNeighbour(name)
--- a/entry/sentprompts.go
+++ b/entry/sentprompts.go
@@ -89,8 +89,8 @@
 	return zone, beyond
 }
 
-// tellSends informs others of the prompts sent, a short while after the first of each batch.
-func (d *Daemon) tellSends(ctx context.Context) {
+// broadcastSends informs others of the prompts sent, a short while after the first of each batch.
+func (d *Daemon) broadcastSends(ctx context.Context) {
 	self := daemonNumber(d.Self.Name)
 	for {
 		select {
