--- a/entry/daemon.go
+++ b/entry/daemon.go
@@ -316,7 +316,7 @@
 	d.rollouts.receive(now, in.From, in.Payload.Orders)
 	d.words.receive(now, in.From, in.Payload.Words)
 	if len(in.Payload.Sends) > 0 {
-		d.hearSends(now, in)
+		d.receiveSends(now, in)
 	}
 	if len(in.Payload.Tallies) == 0 {
 		return
--- a/entry/sentprompts.go
+++ b/entry/sentprompts.go
@@ -154,8 +154,8 @@
 	return names
 }
 
-// hearSends applies the prompts that others have sent.
-func (d *Daemon) hearSends(now time.Time, in conn.Delivery) {
+// receiveSends applies the prompts that others have sent.
+func (d *Daemon) receiveSends(now time.Time, in conn.Delivery) {
 	var sends []sentBy
 	if err := conn.Unmarshal(in.Payload.Sends, &sends); err != nil {
 		d.log.WithField("part", "sends").Warnf("invalid prompts from %s: %v", in.From, err)
