--- a/entry/crashes.go
+++ b/entry/crashes.go
@@ -22,7 +22,7 @@
 	return request.HoldShare{
 		Weigh: d.sendCrash, Pass: d.forwardCrash, Table: d.table, Day: func(now time.Time) time.Time { return d.wall.At(now) },
 		Tell: func(p conn.Payload) { d.Hub.Tell(p) },
-		Near: func(p conn.Payload) { d.giveAll(d.Hub.Mesh.NeighbourNames(), p) },
+		Near: func(p conn.Payload) { d.sendToAll(d.Hub.Mesh.NeighbourNames(), p) },
 	}
 }
 
@@ -31,9 +31,9 @@
 	r := d.roster()
 	switch {
 	case !d.largeFleet():
-		d.giveAll(d.Hub.Mesh.NeighbourNames(), p)
+		d.sendToAll(d.Hub.Mesh.NeighbourNames(), p)
 	case d.isReader():
-		d.giveAll(r.Beyond, p)
+		d.sendToAll(r.Beyond, p)
 	default:
 		d.Hub.Give(r.Reader.Name, p)
 	}
@@ -42,11 +42,11 @@
 // forwardCrash forwards crash reports from a daemon of this reader's zone.
 func (d *Daemon) forwardCrash(from string, p conn.Payload) {
 	if d.largeFleet() && d.isReader() && d.inZone(from) {
-		d.giveAll(d.roster().Beyond, conn.Payload{Crashes: p.Crashes})
+		d.sendToAll(d.roster().Beyond, conn.Payload{Crashes: p.Crashes})
 	}
 }
 
-func (d *Daemon) giveAll(names []string, p conn.Payload) {
+func (d *Daemon) sendToAll(names []string, p conn.Payload) {
 	for _, name := range names {
 		d.Hub.Give(name, p)
 	}
--- a/entry/endpointreports.go
+++ b/entry/endpointreports.go
@@ -89,7 +89,7 @@
 
 func (k *reportExchange) sendReports(to []string, words []request.Word) {
 	if len(words) > 0 {
-		k.d.giveAll(to, conn.Payload{Words: conn.Marshal(words)})
+		k.d.sendToAll(to, conn.Payload{Words: conn.Marshal(words)})
 	}
 }
 
--- a/entry/rolloutreports.go
+++ b/entry/rolloutreports.go
@@ -45,9 +45,9 @@
 	switch {
 	case len(words) == 0:
 	case !k.d.largeFleet():
-		k.d.giveAll(k.d.Hub.Mesh.NeighbourNames(), conn.Payload{Orders: conn.Marshal(words)})
+		k.d.sendToAll(k.d.Hub.Mesh.NeighbourNames(), conn.Payload{Orders: conn.Marshal(words)})
 	case k.d.isReader():
-		k.d.giveAll(k.d.roster().Beyond, conn.Payload{Orders: conn.Marshal(words)})
+		k.d.sendToAll(k.d.roster().Beyond, conn.Payload{Orders: conn.Marshal(words)})
 	}
 }
 
