--- a/entry/crashes.go
+++ b/entry/crashes.go
@@ -14,9 +14,9 @@
 // to the zones' readers in a large one. At most a dozen readers then receive each report, instead of every
 // daemon over each of its sixteen links. The resulting decisions go to all daemons.
 
-// holdsAgain is the interval at which neighbours are sent the held requests again. A daemon that was cut off
+// holdsInterval is the interval at which neighbours are sent the held requests again. A daemon that was cut off
 // has them by the time it counts as reachable, after 3 s.
-const holdsAgain = time.Second
+const holdsInterval = time.Second
 
 func (d *Daemon) holdShare() request.HoldShare {
 	return request.HoldShare{
@@ -57,7 +57,7 @@
 // the rest.
 func (d *Daemon) loadHolds(ctx context.Context) {
 	// When the whole system starts there is nothing to read yet.
-	for due := !d.Site().First; ctx.Err() == nil; sleep(ctx, holdsAgain) {
+	for due := !d.Site().First; ctx.Err() == nil; sleep(ctx, holdsInterval) {
 		for due && ctx.Err() == nil && !d.contact.counted.Load() {
 			sleep(ctx, tickPeriod)
 		}
--- a/entry/daemon.go
+++ b/entry/daemon.go
@@ -266,8 +266,8 @@
 	d.run(func() { d.duties.run(d.ctx) })
 	d.run(func() { d.syncMembers(d.ctx) })
 	d.run(func() { d.loadHolds(d.ctx) })
-	d.every(holdsAgain, d.Server.Holds.Again)
-	d.every(holdsAgain, d.rollouts.sendReports)
+	d.every(holdsInterval, d.Server.Holds.Again)
+	d.every(holdsInterval, d.rollouts.sendReports)
 	d.every(evaluationPeriod, d.rollouts.evaluate)
 	d.every(tickPeriod, func(time.Time) { d.rollouts.load(d.ctx) })
 	d.every(tickPeriod, func(now time.Time) {
