--- a/entry/daemon.go
+++ b/entry/daemon.go
@@ -271,7 +271,7 @@
 	d.every(evaluationPeriod, d.rollouts.evaluate)
 	d.every(tickPeriod, func(time.Time) { d.rollouts.load(d.ctx) })
 	d.every(tickPeriod, func(now time.Time) {
-		d.noteSleep()
+		d.checkSuspension()
 		d.Server.Works.Tick(now, len(d.Hub.Mesh.Members()))
 		d.runners.tick(now)
 		d.rollouts.tick(now)
