--- a/entry/daemon.go
+++ b/entry/daemon.go
@@ -279,7 +279,7 @@
 		d.observeWallClock(now)
 		d.updateCutOff(now)
 		d.contact.noteAlone(now, len(d.Hub.Mesh.Members()) < 2)
-		d.noteOutage(now)
+		d.recordOutage(now)
 		d.assumeFlow(now)
 		d.updateReady(now)
 	})
--- a/entry/feeder.go
+++ b/entry/feeder.go
@@ -69,7 +69,7 @@
 			f.d.feedsDown.Add(1)
 			f.d.log.WithFields(logrus.Fields{"part": f.name, "version": at}).Warnf("store lost: %v", err)
 		}
-		f.d.noteOutage(now)
+		f.d.recordOutage(now)
 		first, last := f.pauses()
 		pause = min(max(2*pause, first), last)
 		sleep(ctx, pause/2+rand.N(pause/2+1))
--- a/entry/outage.go
+++ b/entry/outage.go
@@ -142,9 +142,9 @@
 	return since != nil && held.After(*since)
 }
 
-// noteOutage records that the store fails for all; entries of endpoints expire then. A daemon that the store
+// recordOutage records that the store fails for all; entries of endpoints expire then. A daemon that the store
 // served recently disproves it, this daemon first of all.
-func (d *Daemon) noteOutage(now time.Time) {
+func (d *Daemon) recordOutage(now time.Time) {
 	age, _ := d.runners.fresh.Age(now)
 	if d.feedsDown.Load() > 0 && age > recentlyServedAge && d.outageFor(now, &d.runners.fresh, ListTime, recentlyServedAge) {
 		d.runners.storeFailed(now)
