--- a/entry/peers.go
+++ b/entry/peers.go
@@ -69,7 +69,7 @@
 	Listed  time.Duration `codec:"l"`           // age of the answering daemon's list of endpoints
 	Entries []entryRow    `codec:"e,omitempty"` // endpoints that changed since the asker's version
 	Whole   bool          `codec:"h,omitempty"` // Entries holds all endpoints
-	Orders  []orderWord   `codec:"o,omitempty"` // rollout orders, as of the catalog
+	Orders  []orderReport `codec:"o,omitempty"` // rollout orders, as of the catalog
 	Daemons int           `codec:"n,omitempty"` // daemons known to the answering one; 0 until it has counted them
 
 	Source string           `codec:"s,omitempty"` // the answering daemon's process
--- a/entry/rolloutreports.go
+++ b/entry/rolloutreports.go
@@ -11,8 +11,8 @@
 	"streambend.example/rollout"
 )
 
-// orderWord is the report of an order that daemons exchange.
-type orderWord struct {
+// orderReport is the report of an order that daemons exchange.
+type orderReport struct {
 	Order rollout.Order      `codec:"o"`
 	Age   time.Duration      `codec:"a"` // lower bound on the time since it was written
 	Fact  rollout.OrderState `codec:"f"`
@@ -24,14 +24,14 @@
 const endedReportTime = 30 * time.Second
 
 // words returns reports of all orders, or only of those that daemons still repeat.
-func (k *rolloutController) words(now time.Time, all bool) (out []orderWord) {
+func (k *rolloutController) words(now time.Time, all bool) (out []orderReport) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for _, v := range k.services {
 		if v.order.Number == 0 || !all && !v.running() && now.Sub(v.stageSince) > endedReportTime {
 			continue
 		}
-		out = append(out, orderWord{v.order, now.Sub(v.writtenBy), v.fact, v.own})
+		out = append(out, orderReport{v.order, now.Sub(v.writtenBy), v.fact, v.own})
 	}
 	return out
 }
@@ -54,7 +54,7 @@
 // broadcast sends the progress of an order to all daemons.
 func (k *rolloutController) broadcast(service string, o rollout.Order, heard time.Time, f rollout.OrderState) {
 	o.Service = service
-	k.d.Hub.Tell(conn.Payload{Orders: conn.Marshal([]orderWord{{Order: o, Age: clock.Now().Sub(heard), Fact: f}})})
+	k.d.Hub.Tell(conn.Payload{Orders: conn.Marshal([]orderReport{{Order: o, Age: clock.Now().Sub(heard), Fact: f}})})
 }
 
 // receive decodes and applies the reports of another daemon.
@@ -62,7 +62,7 @@
 	if len(b) == 0 {
 		return
 	}
-	var words []orderWord
+	var words []orderReport
 	if err := conn.Unmarshal(b, &words); err != nil {
 		k.d.log.WithField("part", "rollout").Warnf("order reports of %s: %v", from, err)
 		return
@@ -71,7 +71,7 @@
 }
 
 // applyReports applies reports that were sent at the given time.
-func (k *rolloutController) applyReports(now, sent time.Time, words []orderWord) {
+func (k *rolloutController) applyReports(now, sent time.Time, words []orderReport) {
 	for _, w := range words {
 		k.adoptOwn(w)
 		k.applyOrder(now, sent.Add(-w.Age), w.Order, w.Fact)
@@ -83,7 +83,7 @@
 
 // hearAll applies the full set of orders that another daemon knew at a version of the store. An order
 // known here that is not newer than that version and not among them was withdrawn.
-func (k *rolloutController) hearAll(sent time.Time, at int64, words []orderWord) {
+func (k *rolloutController) hearAll(sent time.Time, at int64, words []orderReport) {
 	k.applyReports(clock.Now(), sent, words)
 	there := make(map[string]bool)
 	for _, w := range words {
@@ -105,7 +105,7 @@
 
 // adoptOwn takes a service's own versions from a daemon that knows them. A daemon that starts during
 // a roll-out cannot tell them from the new version.
-func (k *rolloutController) adoptOwn(w orderWord) {
+func (k *rolloutController) adoptOwn(w orderReport) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if v := k.lookup(w.Order.Service); v.own == nil {
