--- a/entry/peers.go
+++ b/entry/peers.go
@@ -344,7 +344,7 @@
 		return conn.Marshal(a), nil
 	}
 	a.Known, a.Failing, a.Age, a.Listed, a.Catalog = true, d.feedsDown.Load() > 0, age, listed, f.catalog.Version
-	a.Orders = d.rollouts.words(now, true)
+	a.Orders = d.rollouts.reports(now, true)
 	a.Fetched = q.Fetch
 	if q.Fetch && a.Catalog > q.Catalog {
 		var err error
--- a/entry/rolloutreports.go
+++ b/entry/rolloutreports.go
@@ -23,8 +23,8 @@
 // after a partition ends; one that starts gets the report with the configuration.
 const endedReportTime = 30 * time.Second
 
-// words returns reports of all orders, or only of those that daemons still repeat.
-func (k *rolloutController) words(now time.Time, all bool) (out []orderReport) {
+// reports returns reports of all orders, or only of those that daemons still repeat.
+func (k *rolloutController) reports(now time.Time, all bool) (out []orderReport) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for _, v := range k.services {
@@ -41,7 +41,7 @@
 // readers send to each other, and the rest get reports with each answer of a reader: sending to all
 // neighbours cost each of 78 daemons 4.6 KB/s during two roll-outs.
 func (k *rolloutController) sendReports(now time.Time) {
-	words := k.words(now, false)
+	words := k.reports(now, false)
 	switch {
 	case len(words) == 0:
 	case !k.d.largeFleet():
