--- a/entry/peers.go
+++ b/entry/peers.go
@@ -283,7 +283,7 @@
 
 // applyFresh applies an answer, and reports whether more of its catalog is to come.
 func (d *Daemon) applyFresh(sent time.Time, name string, a freshReply) (more bool) {
-	d.rollouts.hearAll(sent, a.At, a.Orders)
+	d.rollouts.applySnapshot(sent, a.At, a.Orders)
 	if a.Piece == nil {
 		c := d.catalog.get()
 		more = !a.Fetched && (c == nil || c.Version < a.Catalog)
--- a/entry/rolloutreports.go
+++ b/entry/rolloutreports.go
@@ -81,9 +81,9 @@
 	k.lastReport = now
 }
 
-// hearAll applies the full set of orders that another daemon knew at a version of the store. An order
+// applySnapshot applies the full set of orders that another daemon knew at a version of the store. An order
 // known here that is not newer than that version and not among them was withdrawn.
-func (k *rolloutController) hearAll(sent time.Time, at int64, words []orderReport) {
+func (k *rolloutController) applySnapshot(sent time.Time, at int64, words []orderReport) {
 	k.applyReports(clock.Now(), sent, words)
 	there := make(map[string]bool)
 	for _, w := range words {
