--- a/entry/rollouts.go
+++ b/entry/rollouts.go
@@ -301,8 +301,8 @@
 // oldVersionKey returns the key under which daemons count running requests at a service's old version.
 func oldVersionKey(service string) string { return service + "@old" }
 
-// countOld adds this daemon's running requests at the old versions of services being rolled out.
-func (k *rolloutController) countOld(running map[string]int) {
+// countOldVersions adds this daemon's running requests at the old versions of services being rolled out.
+func (k *rolloutController) countOldVersions(running map[string]int) {
 	if k.active.Load() == 0 {
 		return
 	}
--- a/entry/tallyexchange.go
+++ b/entry/tallyexchange.go
@@ -49,7 +49,7 @@
 			running[k.Pool.Service] = n
 		}
 	}
-	d.rollouts.countOld(running)
+	d.rollouts.countOldVersions(running)
 	d.tallies.SetRunning(running)
 }
 
