--- a/entry/catalog.go
+++ b/entry/catalog.go
@@ -27,9 +27,9 @@
 	// storeCallTimeout is the timeout of a call to the store that does not wait for changes. The adapter
 	// bounds the answers of feeds and lists by their progress.
 	storeCallTimeout = 700 * time.Millisecond
-	// firstPause and lastPause are the minimum and maximum backoff after a failed call.
-	firstPause = 50 * time.Millisecond
-	lastPause  = 400 * time.Millisecond
+	// minRetryPause and lastPause are the minimum and maximum backoff after a failed call.
+	minRetryPause = 50 * time.Millisecond
+	lastPause     = 400 * time.Millisecond
 	// aloneFirstPause and aloneLastPause are the same for a daemon that is not its zone's reader. It
 	// begins to read at a catalog age of 2 s, and retries twice before the bound of 5 s on revoked
 	// keys makes it unready.
