--- a/entry/catalog.go
+++ b/entry/catalog.go
@@ -29,7 +29,7 @@
 	storeCallTimeout = 700 * time.Millisecond
 	// minRetryPause and lastPause are the minimum and maximum backoff after a failed call.
 	minRetryPause = 50 * time.Millisecond
-	lastPause     = 400 * time.Millisecond
+	maxRetryPause = 400 * time.Millisecond
 	// aloneFirstPause and aloneLastPause are the same for a daemon that is not its zone's reader. It
 	// begins to read at a catalog age of 2 s, and retries twice before the bound of 5 s on revoked
 	// keys makes it unready.
--- a/entry/feeder.go
+++ b/entry/feeder.go
@@ -82,7 +82,7 @@
 	if f.d.largeFleet() && !f.d.isReader() {
 		return aloneFirstPause, aloneLastPause
 	}
-	return minRetryPause, lastPause
+	return minRetryPause, maxRetryPause
 }
 
 // ask reads the whole table, or what has changed. The first query for changes does not wait in the store:
