--- a/entry/catalog.go
+++ b/entry/catalog.go
@@ -30,11 +30,11 @@
 	// minRetryPause and lastPause are the minimum and maximum backoff after a failed call.
 	minRetryPause = 50 * time.Millisecond
 	maxRetryPause = 400 * time.Millisecond
-	// aloneFirstPause and aloneLastPause are the same for a daemon that is not its zone's reader. It
+	// aloneMinRetryPause and aloneLastPause are the same for a daemon that is not its zone's reader. It
 	// begins to read at a catalog age of 2 s, and retries twice before the bound of 5 s on revoked
 	// keys makes it unready.
-	aloneFirstPause = 500 * time.Millisecond
-	aloneLastPause  = 1500 * time.Millisecond
+	aloneMinRetryPause = 500 * time.Millisecond
+	aloneLastPause     = 1500 * time.Millisecond
 	// settlePause is the pause between reading a whole table and following its changes. By then the
 	// daemon may know that another daemon reads for it.
 	settlePause = 500 * time.Millisecond
