--- a/entry/catalog.go
+++ b/entry/catalog.go
@@ -34,7 +34,7 @@
 	// begins to read at a catalog age of 2 s, and retries twice before the bound of 5 s on revoked
 	// keys makes it unready.
 	aloneMinRetryPause = 500 * time.Millisecond
-	aloneLastPause     = 1500 * time.Millisecond
+	aloneMaxRetryPause = 1500 * time.Millisecond
 	// settlePause is the pause between reading a whole table and following its changes. By then the
 	// daemon may know that another daemon reads for it.
 	settlePause = 500 * time.Millisecond
--- a/entry/feeder.go
+++ b/entry/feeder.go
@@ -80,7 +80,7 @@
 // behalf of all; the others only check whether they alone are cut off.
 func (f *feeder) pauses() (first, last time.Duration) {
 	if f.d.largeFleet() && !f.d.isReader() {
-		return aloneMinRetryPause, aloneLastPause
+		return aloneMinRetryPause, aloneMaxRetryPause
 	}
 	return minRetryPause, maxRetryPause
 }
