--- a/entry/daemon.go
+++ b/entry/daemon.go
@@ -88,7 +88,7 @@
 	outage         Outage
 	fetching       sync.Mutex    // held while the pieces of a catalog are fetched from another daemon
 	coming         assembly      // the pieces fetched so far
-	shelf          packedCache   // packed catalogs served to other daemons
+	packedCatalogs packedCache   // packed catalogs served to other daemons
 	slept          time.Duration // total time the box was suspended, as last seen; used by one goroutine
 	asked          int           // rounds of questions to daemons other than readers; used by one goroutine
 
--- a/entry/peers.go
+++ b/entry/peers.go
@@ -348,7 +348,7 @@
 	a.Fetched = q.Fetch
 	if q.Fetch && a.Catalog > q.Catalog {
 		var err error
-		if a.Piece, err = d.shelf.next(f, q.Got); err != nil {
+		if a.Piece, err = d.packedCatalogs.next(f, q.Got); err != nil {
 			return nil, err
 		}
 	}
