--- a/entry/daemon.go
+++ b/entry/daemon.go
@@ -71,26 +71,26 @@
 	unknown        unknownHeaders
 	externalClient *http.Client // for the store and the cloud API
 
-	inbound        conn.Connections // connections of callers
-	callerListener net.Listener     // listener for callers
-	callers        *http.Server
-	checks         *http.Server // readiness checks of the balancer
-	peers          *http.Server
-	stopping       atomic.Bool
-	ready          atomic.Bool
-	feedsDown      atomic.Int32 // number of store feeds that are failing
-	began          time.Time
-	wall           *Wall
-	contact        contact
-	lastRoster     atomic.Pointer[Roster]
-	readerTurn     ReaderSelector
-	feeds          tallyFeeds
-	outage         Outage
-	fetching       sync.Mutex    // held while the pieces of a catalog are fetched from another daemon
-	coming         assembly      // the pieces fetched so far
-	packedCatalogs packedCache   // packed catalogs served to other daemons
-	slept          time.Duration // total time the box was suspended, as last seen; used by one goroutine
-	asked          int           // rounds of questions to daemons other than readers; used by one goroutine
+	inbound         conn.Connections // connections of callers
+	callerListener  net.Listener     // listener for callers
+	callers         *http.Server
+	checks          *http.Server // readiness checks of the balancer
+	peers           *http.Server
+	stopping        atomic.Bool
+	ready           atomic.Bool
+	feedsDown       atomic.Int32 // number of store feeds that are failing
+	began           time.Time
+	wall            *Wall
+	contact         contact
+	lastRoster      atomic.Pointer[Roster]
+	readerTurn      ReaderSelector
+	feeds           tallyFeeds
+	outage          Outage
+	fetching        sync.Mutex    // held while the pieces of a catalog are fetched from another daemon
+	incomingCatalog assembly      // the pieces fetched so far
+	packedCatalogs  packedCache   // packed catalogs served to other daemons
+	slept           time.Duration // total time the box was suspended, as last seen; used by one goroutine
+	asked           int           // rounds of questions to daemons other than readers; used by one goroutine
 
 	ctx    context.Context
 	cancel context.CancelFunc
--- a/entry/peers.go
+++ b/entry/peers.go
@@ -206,7 +206,7 @@
 func (d *Daemon) queryPeer(ctx context.Context, name string, fetch bool) (w PeerReport, more bool) {
 	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
-	q := freshQuery{Runners: d.runners.current(), Fetch: fetch, Got: d.coming.progress()}
+	q := freshQuery{Runners: d.runners.current(), Fetch: fetch, Got: d.incomingCatalog.progress()}
 	q.Started = !d.Site().First && !d.contact.levelsKnown.Load()
 	if c := d.catalog.get(); c != nil {
 		q.Catalog = c.Version
@@ -288,7 +288,7 @@
 		c := d.catalog.get()
 		more = !a.Fetched && (c == nil || c.Version < a.Catalog)
 	} else {
-		value, rest, err := d.coming.add(a.Piece)
+		value, rest, err := d.incomingCatalog.add(a.Piece)
 		if err == nil && value != nil {
 			err = d.catalog.adopt(value, name)
 		}
