--- a/entry/daemon.go
+++ b/entry/daemon.go
@@ -78,7 +78,7 @@
 	peers           *http.Server
 	stopping        atomic.Bool
 	ready           atomic.Bool
-	feedsDown       atomic.Int32 // number of store feeds that are failing
+	failingFeeds    atomic.Int32 // number of store feeds that are failing
 	began           time.Time
 	wall            *Wall
 	contact         contact
--- a/entry/feeder.go
+++ b/entry/feeder.go
@@ -48,7 +48,7 @@
 			at, whole, pause = p.Version, false, 0
 			if !up {
 				up = true
-				f.d.feedsDown.Add(-1)
+				f.d.failingFeeds.Add(-1)
 				f.d.log.WithFields(logrus.Fields{"part": f.name, "version": at}).Info("store regained")
 			}
 			switch {
@@ -66,7 +66,7 @@
 		}
 		if up && ctx.Err() == nil {
 			up = false
-			f.d.feedsDown.Add(1)
+			f.d.failingFeeds.Add(1)
 			f.d.log.WithFields(logrus.Fields{"part": f.name, "version": at}).Warnf("store lost: %v", err)
 		}
 		f.d.recordOutage(now)
--- a/entry/outage.go
+++ b/entry/outage.go
@@ -118,7 +118,7 @@
 // outageFor reports whether the store fails for all, so that no data younger than this daemon's can be had.
 func (d *Daemon) outageFor(now time.Time, held *Freshness, of ReportTime, bound time.Duration) bool {
 	if d.isOnlyDaemon(held) {
-		return d.feedsDown.Load() > 0
+		return d.failingFeeds.Load() > 0
 	}
 	return d.outage.Confirmed(now, min(witnesses, len(d.others())), of, bound)
 }
@@ -146,7 +146,7 @@
 // served recently disproves it, this daemon first of all.
 func (d *Daemon) recordOutage(now time.Time) {
 	age, _ := d.runners.fresh.Age(now)
-	if d.feedsDown.Load() > 0 && age > recentlyServedAge && d.outageFor(now, &d.runners.fresh, ListTime, recentlyServedAge) {
+	if d.failingFeeds.Load() > 0 && age > recentlyServedAge && d.outageFor(now, &d.runners.fresh, ListTime, recentlyServedAge) {
 		d.runners.storeFailed(now)
 	}
 }
--- a/entry/peers.go
+++ b/entry/peers.go
@@ -129,7 +129,7 @@
 func (d *Daemon) syncWithPeers(ctx context.Context, now time.Time) {
 	old := d.behind(now)
 	if d.isReader() && !old {
-		if d.feedsDown.Load() > 0 {
+		if d.failingFeeds.Load() > 0 {
 			d.askWitnesses(ctx, "")
 		}
 		return
@@ -343,7 +343,7 @@
 		a.Empty = f == nil && d.catalog.empty(now)
 		return conn.Marshal(a), nil
 	}
-	a.Known, a.Failing, a.Age, a.Listed, a.Catalog = true, d.feedsDown.Load() > 0, age, listed, f.catalog.Version
+	a.Known, a.Failing, a.Age, a.Listed, a.Catalog = true, d.failingFeeds.Load() > 0, age, listed, f.catalog.Version
 	a.Orders = d.rollouts.reports(now, true)
 	a.Fetched = q.Fetch
 	if q.Fetch && a.Catalog > q.Catalog {
