--- a/entry/daemon.go
+++ b/entry/daemon.go
@@ -89,7 +89,7 @@
 	fetching        sync.Mutex    // held while the pieces of a catalog are fetched from another daemon
 	incomingCatalog assembly      // the pieces fetched so far
 	packedCatalogs  packedCache   // packed catalogs served to other daemons
-	slept           time.Duration // total time the box was suspended, as last seen; used by one goroutine
+	suspendedTotal  time.Duration // total time the box was suspended, as last seen; used by one goroutine
 	asked           int           // rounds of questions to daemons other than readers; used by one goroutine
 
 	ctx    context.Context
@@ -110,7 +110,7 @@
 		return nil, err
 	}
 	slept := clock.Refresh() // includes the time before this process started
-	d := &Daemon{began: clock.Now(), slept: slept, network: n, without: without, log: log, meters: newMeters(), quotas: NewQuotas(site.First)}
+	d := &Daemon{began: clock.Now(), suspendedTotal: slept, network: n, without: without, log: log, meters: newMeters(), quotas: NewQuotas(site.First)}
 	d.unknown.log = log
 	d.contact = newContact(d.began)
 	d.wall = NewWall(d.began, time.Now())
--- a/entry/suspension.go
+++ b/entry/suspension.go
@@ -18,8 +18,8 @@
 // sent to an endpoint.
 func (d *Daemon) checkSuspension() {
 	total := clock.Refresh()
-	slept := total - d.slept
-	d.slept = total
+	slept := total - d.suspendedTotal
+	d.suspendedTotal = total
 	if slept < minSuspension {
 		return
 	}
