--- a/entry/daemon.go
+++ b/entry/daemon.go
@@ -37,8 +37,8 @@
 	tickPeriod = 100 * time.Millisecond
 	// gossipPeriod is how often daemons exchange tallies, and quickGossip how often readers do while
 	// a team is near its limit.
-	gossipPeriod = 250 * time.Millisecond
-	quickGossip  = 100 * time.Millisecond
+	gossipPeriod     = 250 * time.Millisecond
+	fastGossipPeriod = 100 * time.Millisecond
 	// resendPeriod is how often all tallies are sent to the neighbours again, in case a frame was lost
 	// with its link.
 	resendPeriod = 3 * time.Second
--- a/entry/tallyexchange.go
+++ b/entry/tallyexchange.go
@@ -56,7 +56,7 @@
 // gossipPause returns the time until tallies are exchanged again.
 func (d *Daemon) gossipPause(now time.Time) time.Duration {
 	if d.largeFleet() && d.quotas.NearLimit(now) {
-		return quickGossip
+		return fastGossipPeriod
 	}
 	return gossipPeriod
 }
