--- a/entry/peers.go
+++ b/entry/peers.go
@@ -177,7 +177,7 @@
 		}).Info("another reader is asked from now on")
 	}
 	if w == ReaderOK {
-		d.runners.storeBack(clock.Now())
+		d.runners.storeRecovered(clock.Now())
 	}
 }
 
--- a/entry/runners.go
+++ b/entry/runners.go
@@ -74,7 +74,7 @@
 func (k *endpointTracker) follow(ctx context.Context) {
 	f := feeder{d: k.d, table: platform.RunnerTable, wait: k.wait, name: "endpoints"}
 	f.run(ctx, k.current, func(now, sent time.Time, p platform.Page, whole bool) error {
-		k.storeBack(now)
+		k.storeRecovered(now)
 		k.take(now, p.Version, p.Rows, whole)
 		k.fresh.Store(sent, now, p.Clock)
 		return nil
@@ -291,8 +291,8 @@
 	k.failedAt, k.storeDown = now, true
 }
 
-// storeBack records that the store answers. Expired entries have missingGrace from then on to come back.
-func (k *endpointTracker) storeBack(now time.Time) {
+// storeRecovered records that the store answers. Expired entries have missingGrace from then on to come back.
+func (k *endpointTracker) storeRecovered(now time.Time) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.storeDown {
