--- a/entry/outage.go
+++ b/entry/outage.go
@@ -32,8 +32,8 @@
 // Outage collects what other daemons report of the store. A daemon's own calls also fail while its link is
 // congested, so on their own they do not prove that the store is down. The zero value is ready to use.
 type Outage struct {
-	mu    sync.Mutex
-	words map[string]PeerReport
+	mu      sync.Mutex
+	reports map[string]PeerReport
 }
 
 // PeerReport is the outcome of a query to another daemon.
@@ -49,20 +49,20 @@
 func (o *Outage) Record(name string, w PeerReport) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if o.words == nil {
-		o.words = make(map[string]PeerReport)
+	if o.reports == nil {
+		o.reports = make(map[string]PeerReport)
 	}
-	old, ok := o.words[name]
+	old, ok := o.reports[name]
 	if ok && w.Asked.Before(old.Asked) {
 		return
 	}
 	if w.Reader == ReaderSilent {
 		w.Catalog, w.Listed = old.Catalog, old.Listed
 	}
-	o.words[name] = w
-	for n, old := range o.words {
+	o.reports[name] = w
+	for n, old := range o.reports {
 		if w.Asked.Sub(old.Asked) > peerReportRetention {
-			delete(o.words, n)
+			delete(o.reports, n)
 		}
 	}
 }
@@ -83,7 +83,7 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	asked, failing := 0, false
-	for _, w := range o.words {
+	for _, w := range o.reports {
 		if now.Sub(w.Asked) > reportTTL {
 			continue
 		}
