--- a/clock/clock.go
+++ b/clock/clock.go
@@ -36,7 +36,7 @@
 	maxReadTime = 5 * time.Millisecond
 )
 
-// suspendedTotal is the result of the last Look, in nanoseconds.
+// suspendedTotal is the result of the last Refresh, in nanoseconds.
 var suspendedTotal atomic.Int64
 
 // Refresh updates the time that the box was suspended since it booted, and returns it. It takes three
@@ -48,7 +48,7 @@
 	return d
 }
 
-// Now returns the current time, including suspensions up to the last Look.
+// Now returns the current time, including suspensions up to the last Refresh.
 func Now() time.Time { return time.Now().Add(time.Duration(suspendedTotal.Load())) }
 
 // Since returns the time since t, a result of Now.
--- a/crash/doc.go
+++ b/crash/doc.go
@@ -7,7 +7,7 @@
 // requests that were answered:
 //
 //	var l crash.Ledger
-//	fresh := l.Ended(now, crash.End{Endpoint: id, Flights: flights})
+//	fresh := l.AddCrash(now, crash.EndpointCrash{Endpoint: id, Flights: flights})
 //	if v, held := l.Held(now, print); held {
 //		// not sent before v.Until
 //	}
--- a/crash/fingerprint.go
+++ b/crash/fingerprint.go
@@ -17,11 +17,11 @@
 // domain separates this use of the hash from all others.
 const domain = "streambend print 1"
 
-// FingerprintOf returns the Print of a request's fields, in their order. Each field is preceded by its
+// FingerprintOf returns the Fingerprint of a request's fields, in their order. Each field is preceded by its
 // length, so that no field can be confused with the end of another.
 //
 // The hash is a cryptographic one, as a team could otherwise forge a collision to have another
-// team's requests held back. It takes 2^64 tries to build two requests with the same Print, and
+// team's requests held back. It takes 2^64 tries to build two requests with the same Fingerprint, and
 // 2^128 to build one that matches another team's.
 func FingerprintOf(fields ...[]byte) Fingerprint {
 	h := sha256.New()
--- a/rollout/doc.go
+++ b/rollout/doc.go
@@ -10,8 +10,8 @@
 //	test.Take(now, counts)             // canary analysis of the answers of all daemons
 //	rollout.Next(now, state)           // the next stage, decided by the lease holder
 //
-// A Standing says which versions may run requests. Daemons exchange what they know of an order as a
-// Fact. Merging facts only advances the stage: a message that arrives late cannot bring back a
+// A VersionPolicy says which versions may run requests. Daemons exchange what they know of an order as an
+// OrderState. Merging states only advances the stage: a message that arrives late cannot bring back a
 // version that was rolled back.
 //
 // The package does no input or output; callers pass the current time.
--- a/rollout/order.go
+++ b/rollout/order.go
@@ -67,7 +67,7 @@
 	return f.Event(context.Background(), eventTo[to]) == nil
 }
 
-// OrderState is what a daemon knows of an order. Facts converge on all daemons, in whichever order they
+// OrderState is what a daemon knows of an order. States converge on all daemons, in whichever order they
 // arrive.
 type OrderState struct {
 	Number int64  `codec:"n"`
@@ -76,7 +76,7 @@
 	Why    string `codec:"w,omitempty"` // reason of a roll-back: the route and the evidence on it
 }
 
-// Merge returns the newer of two facts about a service's orders.
+// Merge returns the newer of two states about a service's orders.
 func (f OrderState) Merge(x OrderState) OrderState {
 	if x.Number > f.Number || x.Number == f.Number && x.Stage > f.Stage {
 		return x
--- a/rollout/rollout_test.go
+++ b/rollout/rollout_test.go
@@ -67,7 +67,7 @@
 	}
 }
 
-// Merging facts is commutative, associative and idempotent, and never goes back to an earlier stage.
+// Merging order states is commutative, associative and idempotent, and never goes back to an earlier stage.
 func TestMergeOnlyAdvancesTheStage(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b, c := drawFact(t, "a"), drawFact(t, "b"), drawFact(t, "c")
