--- a/clock/doc.go
+++ b/clock/doc.go
@@ -5,7 +5,7 @@
 //
 //	read := clock.Now()
 //	// ... the box is suspended for ten seconds ...
-//	clock.Look()
+//	clock.Refresh()
 //	clock.Since(read) // at least ten seconds
 //
 // Compare times of this package with each other only. Times that leave the process or control the
