--- a/entry/outage.go
+++ b/entry/outage.go
@@ -67,7 +67,7 @@
 	}
 }
 
-// ReportTime selects one of the moments of a Word.
+// ReportTime selects one of the moments of a PeerReport.
 type ReportTime func(PeerReport) time.Time
 
 // Horizons of the catalog and of the list of endpoints.
--- a/entry/peers.go
+++ b/entry/peers.go
@@ -19,7 +19,7 @@
 	// peerAge.
 	peerPause = 300 * time.Millisecond
 	manyPause = 450 * time.Millisecond
-	// quickPause is the interval in a large fleet while some team is near its limit, and for youngFor after
+	// quickPause is the interval in a large fleet while some team is near its limit, and for startupPeriod after
 	// a start, before which nothing is known: the sooner daemons learn of each other's admissions, the less
 	// exceeds a limit. For a team at 6 and 9 times its limit, 60 daemons admitted 1,033 and 1,099 requests in
 	// 8 s with manyPause, of 1,025 allowed, and 853 to 888 with quickPause. At four times a limit, 60 daemons
--- a/entry/sentprompts.go
+++ b/entry/sentprompts.go
@@ -73,7 +73,7 @@
 	}
 }
 
-// newestSends returns the newest elements, at most sendsMost.
+// newestSends returns the newest elements, at most maxBatchedSends.
 func newestSends[T any](in []T) []T { return in[max(0, len(in)-maxBatchedSends):] }
 
 // take returns and clears the batches by destination: what this zone has sent goes to all, what others have
