--- a/entry/contact.go
+++ b/entry/contact.go
@@ -29,7 +29,7 @@
 // since returns a moment as nanoseconds after began, at least 1 as 0 stands for never.
 func (c *contact) since(now time.Time) int64 { return max(1, int64(now.Sub(c.began))) }
 
-// noReport reports whether no other daemon has reported yet what it admits.
+// noReport is true until another daemon has reported what it admits.
 func (c *contact) noReport() bool { return c.lastReport.Load() == 0 }
 
 // recordReport records a report of what another daemon admits; first is true for the first one.
--- a/entry/crashes.go
+++ b/entry/crashes.go
@@ -14,8 +14,8 @@
 // to the zones' readers in a large one. At most a dozen readers then receive each report, instead of every
 // daemon over each of its sixteen links. The resulting decisions go to all daemons.
 
-// holdsInterval is the interval at which neighbours are sent the held requests again. A daemon that was cut off
-// has them by the time it counts as reachable, after 3 s.
+// holdsInterval is the interval at which neighbours are sent the held requests again. A daemon that was cut
+// off has them by the time it counts as reachable, after 3 s.
 const holdsInterval = time.Second
 
 func (d *Daemon) holdShare() request.HoldShare {
--- a/entry/endpointreports.go
+++ b/entry/endpointreports.go
@@ -31,8 +31,8 @@
 	return out
 }
 
-// reportExchange exchanges endpoints' reports with other daemons. Without them each daemon would learn the same
-// from the endpoint itself sooner or later, by a request that is lost or exceeds a limit.
+// reportExchange exchanges endpoints' reports with other daemons. Without them each daemon would learn the
+// same from the endpoint itself sooner or later, by a request that is lost or exceeds a limit.
 type reportExchange struct {
 	d *Daemon
 
@@ -134,8 +134,8 @@
 	return k.known[w.Endpoint]
 }
 
-// applyPending applies earlier reports to an endpoint that has been listed just now, for the first time or again.
-// It returns the endpoint, which may be nil.
+// applyPending applies earlier reports to an endpoint that has been listed just now, for the first time or
+// again. It returns the endpoint, which may be nil.
 func (k *reportExchange) applyPending(t *request.Target) *request.Target {
 	if t == nil {
 		return nil
--- a/entry/flow.go
+++ b/entry/flow.go
@@ -108,12 +108,12 @@
 	return max(f.Known, 1)
 }
 
-// InMinority reports whether a daemon reaches at most half of those that it knows, so that it rather than they may
-// be cut off.
+// InMinority reports whether a daemon reaches at most half of those that it knows, so that it rather than
+// they may be cut off.
 func (f Fleet) InMinority() bool { return f.Known > 1 && 2*f.Alive <= f.Known }
 
-// Uninformed reports whether a daemon uses less of a limit than it will once it has learned the number of daemons
-// and what they admit.
+// Uninformed reports whether a daemon uses less of a limit than it will once it has learned the number of
+// daemons and what they admit.
 func (f Fleet) Uninformed() bool { return !f.Counted || f.NoReports && f.Sharers() > fullMesh }
 
 // LimitShare returns the fraction of a limit over all daemons that one may use: the fraction of the fleet that
--- a/entry/outage.go
+++ b/entry/outage.go
@@ -44,8 +44,8 @@
 	Listed  time.Time // the same of its list of endpoints
 }
 
-// Record records the outcome of a query to a daemon. A query without an answer overrides neither the answer to a
-// later one, nor the known freshness of what the daemon holds.
+// Record records the outcome of a query to a daemon. A query without an answer overrides neither the answer
+// to a later one, nor the known freshness of what the daemon holds.
 func (o *Outage) Record(name string, w PeerReport) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -131,9 +131,9 @@
 	return age <= bound || d.outageFor(now, &d.catalog.fresh, CatalogTime, bound)
 }
 
-// isOnlyDaemon reports whether there is no other daemon: there never was one, except for some that stopped as planned,
-// or the store has refreshed what is held after all others were gone, so that it is not this daemon's link
-// that keeps them from answering.
+// isOnlyDaemon reports whether there is no other daemon: there never was one, except for some that stopped
+// as planned, or the store has refreshed what is held after all others were gone, so that it is not this
+// daemon's link that keeps them from answering.
 func (d *Daemon) isOnlyDaemon(held *Freshness) bool {
 	if _, known := d.Hub.Mesh.Counts(); known < 2 {
 		return d.Site().First || d.contact.counted.Load()
--- a/entry/peers.go
+++ b/entry/peers.go
@@ -181,8 +181,8 @@
 	}
 }
 
-// syncWithPeer queries one daemon and returns the state of its reads. If that daemon has a newer catalog, syncWithPeer
-// fetches it piece by piece, from one daemon at a time, as a link has room for one catalog.
+// syncWithPeer queries one daemon and returns the state of its reads. If that daemon has a newer catalog,
+// syncWithPeer fetches it piece by piece, from one daemon at a time, as a link has room for one catalog.
 func (d *Daemon) syncWithPeer(ctx context.Context, name string) ReaderStatus {
 	fetch := false
 	for {
--- a/entry/permits.go
+++ b/entry/permits.go
@@ -87,8 +87,8 @@
 	return k.shares.AllowShare(now, t.Hash(), l.PerSecond, pace.HashFraction(t.Hash(), k.d.Self.Name), k.d.fleet().Sharers())
 }
 
-// grantFraction returns the fraction of each limit that this daemon grants: all of it, unless it reaches so few other
-// daemons that those may have chosen another owner.
+// grantFraction returns the fraction of each limit that this daemon grants: all of it, unless it reaches so
+// few other daemons that those may have chosen another owner.
 func (k *permitGranter) grantFraction() float64 {
 	if f := k.d.fleet(); f.InMinority() {
 		return f.LimitShare()
--- a/entry/readers.go
+++ b/entry/readers.go
@@ -99,8 +99,8 @@
 	return r
 }
 
-// returnAfterAnswers is how many successful answers of another zone's reader it takes until the own zone's reader
-// is queried again.
+// returnAfterAnswers is how many successful answers of another zone's reader it takes until the own zone's
+// reader is queried again.
 const returnAfterAnswers = 10
 
 // ReaderStatus is the outcome of a query to a reader.
--- a/entry/suspension.go
+++ b/entry/suspension.go
@@ -13,9 +13,9 @@
 // minSuspension is the shortest suspension of the box that is logged.
 const minSuspension = 100 * time.Millisecond
 
-// checkSuspension checks whether the box was suspended, and ends the requests whose deadline has passed meanwhile.
-// Ages are right from the next check on; a request does its own check as it arrives, and again before it is
-// sent to an endpoint.
+// checkSuspension checks whether the box was suspended, and ends the requests whose deadline has passed
+// meanwhile. Ages are right from the next check on; a request does its own check as it arrives, and again
+// before it is sent to an endpoint.
 func (d *Daemon) checkSuspension() {
 	total := clock.Refresh()
 	slept := total - d.suspendedTotal
--- a/entry/tally.go
+++ b/entry/tally.go
@@ -15,8 +15,8 @@
 // some more in case a report is delayed.
 const windowsKept = 5
 
-// remoteTally is the newest tally received of another daemon, when it arrived, and whether that daemon sent it
-// itself rather than another that forwarded it.
+// remoteTally is the newest tally of another daemon, when it arrived, and whether that daemon sent it itself
+// rather than another that forwarded it.
 type remoteTally struct {
 	tally  conn.Tally
 	at     time.Time
@@ -267,8 +267,8 @@
 	return copyTally(t.self)
 }
 
-// AdmittedExcept returns the units, by team, that this daemon has admitted, and that all others but one are known to
-// have admitted since this process started.
+// AdmittedExcept returns the units, by team, that this daemon has admitted, and that all others but one are
+// known to have admitted since this process started.
 func (t *Tallies) AdmittedExcept(except string) map[string]int64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/entry/tallychanges.go
+++ b/entry/tallychanges.go
@@ -9,7 +9,7 @@
 	"streambend.example/rollout"
 )
 
-// counter identifies one counter of a tally: the requests of a team begun in a usage window, or one of the
+// counter identifies one count of a tally: the requests of a team begun in a usage window, or one of the
 // kinds below. Counts only grow, so an equal value means no change, whatever path it arrived by. Without a
 // team it stands for the running requests, which are always sent in full.
 type counter struct {
@@ -24,8 +24,8 @@
 	trialAnswers  = -2 // answers of a version; team holds the key of the count
 )
 
-// changeIndex records when a tally and each of its counts changed last, as the number of that changeIndex among all
-// changes to the tallies held here.
+// changeIndex records when a tally and each of its counts changed last, as the number of that change among
+// all changes to the tallies held here.
 type changeIndex struct {
 	last   uint64
 	counts map[counter]uint64
