--- a/entry/age_test.go
+++ b/entry/age_test.go
@@ -19,7 +19,7 @@
 // before a timeout must not be discarded and requested again from the start: with a configuration of 780
 // KB, weak boxes gave up after 0.7 s each and their links, 1.0 to 1.4 MB/s, stayed full of answers that
 // nobody waited for, although 0.8 MB were enough.
-func TestALargeConfigurationIsInForceInTime(t *testing.T) {
+func TestLargeConfigurationAppliesWithinBound(t *testing.T) {
 	atSize(t, func(w *world) {
 		old, now := w.runner(plain, "a", "i-old", 0), w.runner("other", "a", "i-new", 0)
 		time.Sleep(3 * time.Second)
@@ -40,12 +40,12 @@
 // A daemon whose configuration is older than its bound must refuse all requests. Previously only requests
 // with keys were refused, from an age of 4.75 s on, while requests on routes without keys were still sent
 // to a service that had been replaced.
-func TestAnOldConfigurationServesNobody(t *testing.T) {
+func TestStaleConfigurationRefusesRequests(t *testing.T) {
 	replaced(t, func(w *world) { w.links["daemon-0"].Cut(peerPort, storeAddress) })
 }
 
 // The list of endpoints stays fresh here, so that only the configuration's own age can cause the refusal.
-func TestAnOldConfigurationServesNobodyBesideAFreshList(t *testing.T) {
+func TestStaleConfigurationRefusesRequestsDespiteFreshList(t *testing.T) {
 	replaced(t, func(w *world) {
 		w.links["daemon-0"].Cut(peerPort)
 		w.store.SetFault(standin.RowsFault{Mute: platform.CatalogTable, Muted: map[string]bool{"daemon-0": true}})
@@ -83,7 +83,7 @@
 
 // Two readers whose reads of one table fail do not confirm an outage: endpoints removed from the store must
 // still be dropped, since other daemons know of it.
-func TestTwoThatTheStoreFailsHoldNothing(t *testing.T) {
+func TestTwoFailingReadersDoNotConfirmOutage(t *testing.T) {
 	inZones(t, 12, []string{"a", "b", "c", "d"}, func(w *world) {
 		w.runner(plain, "a", "i-stays", 0)
 		gone := w.runner(plain, "a", "i-gone", 0)
@@ -107,7 +107,7 @@
 
 // A daemon whose peers died while the store answered is the only one left, and must serve through an outage
 // of the store: their silence is not a fault of its own link.
-func TestADaemonLeftAloneRidesAnOutageOut(t *testing.T) {
+func TestOnlyDaemonServesThroughOutage(t *testing.T) {
 	inWorld(t, 2, func(w *world) {
 		w.runner(plain, "a", "i-1", 0)
 		w.daemons[1].Kill()
@@ -125,7 +125,7 @@
 // endpoint 4 s after that had started to drain. A fresh configuration counted for the list as well, and
 // kept the daemon from reading the list. This cause was found in the code; the run that failed did not
 // reproduce it.
-func TestAnOldListOfEndpointsIsNotUsed(t *testing.T) {
+func TestStaleEndpointListIsNotUsed(t *testing.T) {
 	inWorldOf(t, 3, linked, func(w *world) {
 		leaves := w.runner(plain, "a", "i-leaves", 0)
 		time.Sleep(time.Second)
@@ -140,7 +140,7 @@
 
 // Opening a connection to the selected endpoint can take long over a congested link. If the selection is
 // too old by then, the request must not be sent, and the endpoint must not be blamed.
-func TestAChoiceThatBecomesOldOnTheWayIsNotSent(t *testing.T) {
+func TestSelectionStaleAfterDialIsNotSent(t *testing.T) {
 	inWorld(t, 1, func(w *world) {
 		r := w.runner(plain, "a", "i-1", 0)
 		w.connect.Store(int64(bound))
@@ -191,7 +191,7 @@
 
 // An answer of the store that makes progress is read to its end: here 0.8 MB over a link that takes 2 s for
 // them.
-func TestALargeConfigurationIsReadOverAWeakLink(t *testing.T) {
+func TestLargeConfigurationIsReadOverSlowLink(t *testing.T) {
 	inWorldOf(t, 1, func(w *world) {
 		linked(w)
 		w.strong = -1
@@ -231,7 +231,7 @@
 
 // A daemon whose zone reader is lost queries the store itself, with a list that has used up a good part of
 // its bound. The store must answer before the list is late, however long it may hold a query.
-func TestTheStoreHoldsNoQuestionUntilWhatIsHeldIsLate(t *testing.T) {
+func TestFeedWaitEndsBeforeBound(t *testing.T) {
 	const bound, most = 1700 * time.Millisecond, 700 * time.Millisecond
 	for age := time.Duration(0); age < 3*time.Second; age += 10 * time.Millisecond {
 		wait := entry.FeedWait(age, bound, most)
--- a/entry/bytes_test.go
+++ b/entry/bytes_test.go
@@ -36,7 +36,7 @@
 
 // The traffic of tallies between readers must grow with what was counted since the last exchange, not with
 // the number of daemons and teams.
-func TestReadersTellOnlyWhatHasChanged(t *testing.T) {
+func TestReadersSendOnlyChangedTallies(t *testing.T) {
 	const daemons, teams, seconds = 60, 40, 10
 	inWorldOf(t, daemons, func(w *world) {
 		w.zones = []string{"a", "b", "c", "d", "e", "f"}
--- a/entry/crash_test.go
+++ b/entry/crash_test.go
@@ -97,7 +97,7 @@
 
 // Copies sent to all daemons at once may crash the endpoints they reach. Once the cause is known, no
 // further copy is sent.
-func TestACrashingRequestThatComesAtOnceEverywhereIsHeldBack(t *testing.T) {
+func TestConcurrentCrashingRequestsAreHeldBack(t *testing.T) {
 	inWorld(t, 9, func(w *world) {
 		c := &crashWorld{world: w}
 		c.endpoints(engines, 40, 8)
@@ -125,7 +125,7 @@
 
 // Boxes have no disk and all daemons may end at once, so the knowledge of a crashing request must survive
 // in the store.
-func TestACrashingRequestIsHeldBackAfterAllDaemonsHaveStartedAnew(t *testing.T) {
+func TestACrashingRequestIsHeldBackAfterAFullRestart(t *testing.T) {
 	inWorld(t, 4, func(w *world) {
 		c := &crashWorld{world: w}
 		c.endpoints(engines, 20, 8)
@@ -174,7 +174,7 @@
 
 // A daemon that is cut off from the others but reaches the store and the endpoints learns of a crashing
 // request from the store.
-func TestADaemonThatIsCutOffFromTheOthersHoldsACrashingRequestBack(t *testing.T) {
+func TestAnIsolatedDaemonHoldsACrashingRequestBack(t *testing.T) {
 	inWorld(t, 4, func(w *world) {
 		c := &crashWorld{world: w}
 		c.endpoints(engines, 20, 8)
--- a/entry/crashbeside_test.go
+++ b/entry/crashbeside_test.go
@@ -30,7 +30,7 @@
 // Streams that run on the same endpoints as a crashing request are cut off and resent, some of them to the
 // next endpoint that it crashes. They must not be taken for the cause and held back, and all are served
 // once the crashing request is held.
-func TestWhatRunsBesideACrashingRequestIsServedAsBefore(t *testing.T) {
+func TestRequestsBesideACrashingRequestAreServed(t *testing.T) {
 	inWorld(t, 4, func(w *world) {
 		c := &crashWorld{world: w}
 		c.endpoints(engines, 10, 30) // streams of 0.6 s
@@ -59,7 +59,7 @@
 
 // A request that many callers send runs on every endpoint when half of them end for an unrelated reason. It
 // must not be held back for it.
-func TestAPopularRequestIsServedAsHalfOfTheEndpointsEnd(t *testing.T) {
+func TestAPopularRequestIsServedWhenHalfOfTheEndpointsEnd(t *testing.T) {
 	inWorld(t, 4, func(w *world) {
 		c := &crashWorld{world: w}
 		c.endpoints(engines, 12, 20)
--- a/entry/cutseries_test.go
+++ b/entry/cutseries_test.go
@@ -40,7 +40,7 @@
 // queries the store itself once no reader answers, at an age of its list of endpoints of 1.2 s. The store
 // may hold the query for 0.7 s while nothing changes, and the list passed its bound of 1.7 s meanwhile (1.1
 // to 1.3 s into the cut) when the hold time ignored the age of the list.
-func TestCallersAreServedAsADaemonIsCutOffInSeries(t *testing.T) {
+func TestCallersAreServedThroughRepeatedCuts(t *testing.T) {
 	for _, gone := range []int{1, 4, 6} {
 		t.Run(fmt.Sprint("daemon ", gone), func(t *testing.T) {
 			inLimited(t, 9, func(w *world, _ *standin.Runner) {
@@ -82,7 +82,7 @@
 }
 
 // Runs series of cuts drawn from seeds; seed 3 has failed before.
-func TestCallersAreServedThroughDrawnCuts(t *testing.T) {
+func TestCallersAreServedThroughRandomCuts(t *testing.T) {
 	for _, seed := range drawnSeeds(4) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) { drawnCuts(t, seed) })
 	}
@@ -91,7 +91,7 @@
 // A refusal for a stale list of endpoints must state that reason and a valid Retry-After. The check for
 // endpoints at their limits also ran if none could be chosen because of a stale list, so that callers got
 // "no endpoint takes more for 0.2 s" although only one of four endpoints had a limit.
-func TestARefusalForAnOldListOfEndpointsSaysSo(t *testing.T) {
+func TestRefusalForStaleEndpointListStatesReason(t *testing.T) {
 	const alone = 2
 	inLimited(t, 3, func(w *world, _ *standin.Runner) {
 		name := w.daemons[alone].Self.Name
--- a/entry/elsewhere_test.go
+++ b/entry/elsewhere_test.go
@@ -18,7 +18,7 @@
 
 // The holder of the lease stores a report before it sends it. A planned stop in between releases the lease,
 // so that another daemon may act; the report must not be sent then.
-func TestAHolderThatStopsSendsNothingUnderALeaseItHasFreed(t *testing.T) {
+func TestAStoppingHolderSendsNothingUnderAReleasedLease(t *testing.T) {
 	inWorld(t, 3, func(w *world) {
 		time.Sleep(12 * time.Second)
 		calls := w.api.Calls("/usage")
@@ -52,7 +52,7 @@
 
 // Daemons share the retry budget of a service. A daemon that is cut off takes the others for dead, but they
 // still use their shares, so it must not use more than its own.
-func TestADaemonThatIsCutOffRetriesNoMoreThanItsShare(t *testing.T) {
+func TestAnIsolatedDaemonKeepsToItsRetryShare(t *testing.T) {
 	inWorldOf(t, 4, linked, func(w *world) {
 		for n := range 40 { // enough that none is ejected for its failures
 			w.runner(plain, "a", fmt.Sprint("i-", n), 0)
--- a/entry/flow_test.go
+++ b/entry/flow_test.go
@@ -20,7 +20,7 @@
 	return n
 }
 
-func TestAChangeOfReadersLosesNothing(t *testing.T) {
+func TestFlowEstimatorCountsAllAcrossReaderChange(t *testing.T) {
 	var f entry.FlowEstimator
 	now, sum := start, int64(0)
 	word := func(source string, base int64) {
@@ -39,7 +39,7 @@
 	assert.InDelta(t, 9500, sum, 300, "all but what was admitted before the first report")
 }
 
-func TestWhileNoReaderIsHeardOthersAreTakenToGoOn(t *testing.T) {
+func TestFlowEstimatorExtrapolatesWithoutReports(t *testing.T) {
 	var f entry.FlowEstimator
 	at := func(d time.Duration) time.Time { return start.Add(d) }
 	assert.Empty(t, f.Assume(at(0)), "nothing is known yet")
@@ -56,14 +56,14 @@
 	assert.InDelta(t, 1000, sum+back, 50, "the estimate is settled by the report")
 }
 
-func TestWhoHearsNobodyUsesItsOwnPartOfALimit(t *testing.T) {
+func TestAnIsolatedDaemonUsesItsOwnLimitShare(t *testing.T) {
 	share := func(f entry.Fleet) float64 { return f.LimitShare() }
 	assert.InDelta(t, 1, share(entry.Fleet{Alive: 80, Known: 80, Counted: true}), 0)
 	assert.InDelta(t, 0.5, share(entry.Fleet{Alive: 40, Known: 80, Counted: true}), 0)
 	assert.InDelta(t, 1.0/80, share(entry.Fleet{Alive: 70, Known: 80, Counted: true, CutOff: true}), 1e-9)
 }
 
-func TestWhoHasStartedAnewUsesItsOwnPartUntilItHearsTheOthers(t *testing.T) {
+func TestARestartedDaemonUsesItsOwnLimitShareUntilReports(t *testing.T) {
 	f := entry.Fleet{Alive: 80, Known: 80, Counted: true, NoReports: true}
 	assert.InDelta(t, 1.0/80, f.LimitShare(), 1e-9)
 	f.NoReports = false
@@ -73,7 +73,7 @@
 	assert.InDelta(t, 1, entry.Fleet{Alive: 7, Known: 7, Counted: true, NoReports: true}.LimitShare(), 0, "a small fleet exchanges reports at once")
 }
 
-func TestManyThatStartAnewDoNotPassALimitTogether(t *testing.T) {
+func TestManyRestartedDaemonsKeepALimit(t *testing.T) {
 	const daemons = 77
 	team := &version.Tenant{Name: "x", Rate: 1000, Burst: 1000}
 	admitted := 0.0
--- a/entry/hot_test.go
+++ b/entry/hot_test.go
@@ -57,7 +57,7 @@
 // other's admissions, and again when each takes the excess for paid back. With reports every 0.45 s and a
 // debt capped at four seconds of the rate, a team got 4.23 million tokens in 8 s where 3.94 million are
 // allowed.
-func TestATeamThatTurnsHotStaysWithinItsLimit(t *testing.T) {
+func TestALoadJumpStaysWithinTheLimit(t *testing.T) {
 	const perSecond = 100
 	allowed := (limitWindow.Seconds()+1)*perSecond*limitOverage + limitSlack*perSecond
 	for _, times := range []float64{3, 6, 9} {
--- a/entry/leaving_test.go
+++ b/entry/leaving_test.go
@@ -25,7 +25,7 @@
 // An endpoint that leaves while the store is down cannot record so in its entry, but announces it in its
 // answers. The daemons must act on that: with the entry alone, which was written 12 s later, requests still
 // reached an endpoint 2.5 s after its announcement, where 2 s are allowed.
-func TestAnEndpointThatSaysThatItLeavesGetsNothingMore(t *testing.T) {
+func TestAnnouncedLeavingStopsRequests(t *testing.T) {
 	for _, daemons := range []int{3, 60} {
 		inZones(t, daemons, []string{"a", "b", "c"}, func(w *world) {
 			leaves := w.runner(plain, "a", "i-0", 0)
@@ -46,7 +46,7 @@
 
 // The entry of a leaving endpoint expires in an outage and is then written again, as ready, by another
 // writer. What the endpoint announced holds for this start of it; its next start is a new endpoint.
-func TestWhatAnEndpointSaidOfItsLeavingOutlastsItsEntry(t *testing.T) {
+func TestAnnouncedLeavingOutlastsTheEntry(t *testing.T) {
 	inWorld(t, 3, func(w *world) {
 		leaves := w.runner(plain, "a", "i-0", 0)
 		w.runner(plain, "a", "i-1", 0)
@@ -71,7 +71,7 @@
 }
 
 // A value of the header that does not announce the end of the endpoint changes nothing.
-func TestABadWordOfLeavingLosesNothing(t *testing.T) {
+func TestInvalidLeavingHeaderIsIgnored(t *testing.T) {
 	for _, bad := range []string{"0", "2", "yes", "-1", "1;"} {
 		inWorld(t, 2, func(w *world) {
 			w.runner(plain, "a", "i-0", 0).SetFault(standin.RunnerFault{Leaving: bad})
--- a/entry/limited_test.go
+++ b/entry/limited_test.go
@@ -93,7 +93,7 @@
 // they must not exceed that. When no daemon read the announcement, and each selected endpoints by load and
 // prefill time alone, an endpoint with a limit of 1.6 a second got 2 to 8 a second from nine daemons, none of
 // which sent more than 3 a second.
-func TestAnEndpointThatLimitsItselfGetsWhatItTakes(t *testing.T) {
+func TestAnnouncedLimitIsRespectedAndUsed(t *testing.T) {
 	for _, c := range []struct {
 		daemons int
 		limit   string
@@ -139,7 +139,7 @@
 // atOnce is the maximum duration of a refusal that needs no new information.
 const atOnce = 100 * time.Millisecond
 
-func TestWhereAllEndpointsAreAtTheirLimitsCallersAreToldWhenToComeBack(t *testing.T) {
+func TestRetryAfterWhenAllEndpointsAreAtTheirLimits(t *testing.T) {
 	inZones(t, 3, []string{"a", "b", "c"}, func(w *world) {
 		for i := range 2 {
 			w.runner(engines, "a", fmt.Sprint("i-", i), 2).SetFault(standin.RunnerFault{Limit: "2"})
@@ -179,7 +179,7 @@
 }
 
 // Invalid limits are ignored.
-func TestABadLimitLosesNothing(t *testing.T) {
+func TestInvalidLimitIsIgnored(t *testing.T) {
 	for _, bad := range []string{"-1", "NaN", "+Inf", "1e999", "two", "1,5", "0x1p-2", "1 2"} {
 		inWorld(t, 2, func(w *world) {
 			w.runner(engines, "a", "i-0", 2).SetFault(standin.RunnerFault{Limit: bad})
--- a/entry/limitedfaults_test.go
+++ b/entry/limitedfaults_test.go
@@ -91,7 +91,7 @@
 	})
 }
 
-func TestALimitIsKeptAsAllDaemonsStartAnew(t *testing.T) {
+func TestALimitIsKeptThroughAFullRestart(t *testing.T) {
 	for _, daemons := range []int{3, 16} {
 		inLimited(t, daemons, func(w *world, limited *standin.Runner) {
 			for i, d := range w.daemons {
@@ -109,7 +109,7 @@
 	}
 }
 
-func TestALimitIsKeptWhileTheStoreIsDownAndTheEntryLapses(t *testing.T) {
+func TestALimitIsKeptWhileTheStoreIsDownAndTheEntryExpires(t *testing.T) {
 	inLimited(t, 3, func(w *world, limited *standin.Runner) {
 		from := time.Now()
 		w.store.SetFault(standin.RowsFault{Silent: true})
@@ -126,7 +126,7 @@
 	})
 }
 
-func TestAnEndpointThatStartsAgainHasNoLimit(t *testing.T) {
+func TestARestartedEndpointHasNoLimit(t *testing.T) {
 	inLimited(t, 3, func(w *world, limited *standin.Runner) {
 		again := w.restart(engines, "a", limited)
 		time.Sleep(600 * time.Millisecond)
@@ -136,7 +136,7 @@
 }
 
 // All callers use one daemon, which must be able to use the whole limit.
-func TestALimitIsUsedByWhoeverHasTheCallers(t *testing.T) {
+func TestOneDaemonCanUseTheWholeLimit(t *testing.T) {
 	for _, daemons := range []int{9, 60} {
 		inLimited(t, daemons, func(w *world, limited *standin.Runner) {
 			from := time.Now()
--- a/entry/many_test.go
+++ b/entry/many_test.go
@@ -42,7 +42,7 @@
 	})
 }
 
-func TestManyDaemonsKnowWhatEachHasSent(t *testing.T) {
+func TestLargeFleetSharesSentPrompts(t *testing.T) {
 	inWorld(t, 16, func(w *world) {
 		const count, prompts = 4, 12
 		for i := range count {
@@ -60,7 +60,7 @@
 	})
 }
 
-func TestManyDaemonsOrderForWhatAllOfThemRun(t *testing.T) {
+func TestLargeFleetScalesForItsTotalLoad(t *testing.T) {
 	inWorld(t, 16, func(w *world) {
 		w.runner(engines, "a", "i-1", 400) // 8 s a stream
 		time.Sleep(4 * time.Second)
@@ -90,7 +90,7 @@
 	return out
 }
 
-func TestAChangeOfOneEndpointIsToldAlone(t *testing.T) {
+func TestAnEndpointChangeIsSentAlone(t *testing.T) {
 	inWorld(t, 16, func(w *world) {
 		for i := range 60 {
 			w.runner(plain, "a", fmt.Sprint("i-", i), 0)
@@ -124,7 +124,7 @@
 	})
 }
 
-func TestManyDaemonsHoldALimitTogether(t *testing.T) {
+func TestLargeFleetKeepsALimit(t *testing.T) {
 	inWorld(t, 16, func(w *world) {
 		w.runner(plain, "a", "i-1", 0)
 		w.rate = 4000 // 20 plain requests a second
@@ -145,7 +145,7 @@
 
 // A daemon that becomes its zone's reader must obtain from the other readers the tallies that its
 // predecessor had received from daemons that have died as well.
-func TestANewReaderKnowsWhatTheDeadHadTold(t *testing.T) {
+func TestANewReaderKnowsTheTalliesOfDeadDaemons(t *testing.T) {
 	inZones(t, 18, []string{"a", "b", "c"}, func(w *world) {
 		w.runner(plain, "a", "i-1", 0)
 		time.Sleep(time.Second)
@@ -168,7 +168,7 @@
 
 // During an update of the fleet readers of two versions coexist: a query in the old format must be accepted
 // and answered.
-func TestAReaderOfTheVersionBeforeIsHeardAndTold(t *testing.T) {
+func TestAReaderOfThePreviousVersionIsAnswered(t *testing.T) {
 	inZones(t, 14, []string{"a", "b"}, func(w *world) {
 		w.runner(plain, "a", "i-1", 0)
 		time.Sleep(time.Second)
--- a/entry/outage_test.go
+++ b/entry/outage_test.go
@@ -21,7 +21,7 @@
 	return w.store.Calls("/streambend/rows-feed") + w.store.Calls("/streambend/rows-get") + w.store.Calls("/streambend/rows-tx")
 }
 
-func TestManyDaemonsDoNotStormAStoreThatIsDown(t *testing.T) {
+func TestManyDaemonsDoNotOverloadAFailedStore(t *testing.T) {
 	inZones(t, 24, []string{"a", "b", "c", "d"}, func(w *world) {
 		w.runner(plain, "a", "i-1", 0)
 		time.Sleep(3 * time.Second)
@@ -37,7 +37,7 @@
 	})
 }
 
-func TestEveryDaemonHoldsWhatLapsesInAnOutage(t *testing.T) {
+func TestAllDaemonsKeepExpiredEntriesThroughAnOutage(t *testing.T) {
 	inZones(t, 24, []string{"a", "b", "c", "d"}, func(w *world) {
 		r := w.runner(plain, "a", "i-1", 0)
 		time.Sleep(3 * time.Second)
@@ -53,7 +53,7 @@
 	})
 }
 
-func TestAnotherZonesReaderStandsIn(t *testing.T) {
+func TestAnotherZonesReaderIsTheFallback(t *testing.T) {
 	inZones(t, 24, []string{"a", "b", "c", "d"}, func(w *world) {
 		time.Sleep(3 * time.Second)
 		reader, _ := entry.Reader("a", w.daemons[0].Hub.Mesh.Members())
@@ -69,7 +69,7 @@
 	})
 }
 
-func TestReadersAreAskedInTurn(t *testing.T) {
+func TestReaderSelectorFailover(t *testing.T) {
 	var turn entry.ReaderSelector
 	assert.Equal(t, 0, turn.Next(3))
 	assert.True(t, turn.Record(0, entry.ReaderFailing))
@@ -89,7 +89,7 @@
 
 // Readers that are dead or cut off must not make the others confirm an outage: what was removed from the
 // store meanwhile was kept and used for too long.
-func TestReadersThatAreCutOffHoldNothingUp(t *testing.T) {
+func TestIsolatedReadersDoNotDelayRemovals(t *testing.T) {
 	inZones(t, 12, []string{"a", "b", "c", "d"}, func(w *world) {
 		w.runner(plain, "a", "i-stays", 0)
 		time.Sleep(3 * time.Second)
@@ -120,7 +120,7 @@
 	})
 }
 
-func TestADaemonsOwnZoneIsAskedFirst(t *testing.T) {
+func TestReadersForStartsWithTheOwnZone(t *testing.T) {
 	var members []conn.Member
 	for i := range 12 {
 		members = append(members, conn.Member{Name: fmt.Sprint("daemon-", i), Zone: string(rune('a' + i%3))})
@@ -155,7 +155,7 @@
 
 // An outage must be confirmed at every daemon by the reports of others before its data is too old to be
 // used.
-func TestAnOutageOfTheStoreIsRiddenOutByAll(t *testing.T) {
+func TestAllDaemonsServeThroughAnOutage(t *testing.T) {
 	for name, fault := range map[string]standin.RowsFault{"silent": {Silent: true}, "busy": {Busy: true}} {
 		for _, daemons := range []int{3, 8, 24} {
 			t.Run(fmt.Sprint(name, " ", daemons), func(t *testing.T) {
@@ -175,7 +175,7 @@
 	}
 }
 
-func TestAnOutageIsCertainByOthersWord(t *testing.T) {
+func TestAnOutageIsConfirmedByPeerReports(t *testing.T) {
 	const bound = 2 * time.Second
 	now := time.Now()
 	old, young := now.Add(-3*time.Second), now.Add(-time.Second)
--- a/entry/quotawait_test.go
+++ b/entry/quotawait_test.go
@@ -14,7 +14,7 @@
 
 // A bucket that lacks less than a nanosecond's worth of the rate must still refuse with a Retry-After above
 // zero.
-func TestARefusalByAHairTellsWhenToComeBack(t *testing.T) {
+func TestAMinimalShortfallGivesAPositiveWait(t *testing.T) {
 	q := entry.NewQuotas(true)
 	team := &version.Tenant{Name: "team", Rate: 3, Burst: 3}
 	now := time.Unix(1000, 0)
--- a/entry/readertraffic_test.go
+++ b/entry/readertraffic_test.go
@@ -15,7 +15,7 @@
 
 // Readers exchange the tallies of their own zones' daemons. If each also forwarded what it received from
 // other readers, every count would circulate up to five times among six readers.
-func TestReadersPassTheirOwnZonesCountsOn(t *testing.T) {
+func TestReadersForwardOnlyTheirOwnZonesTallies(t *testing.T) {
 	const daemons, seconds = 60, 10
 	zones := []string{"a", "b", "c", "d", "e", "f"}
 	inWorldOf(t, daemons, func(w *world) { w.zones = zones }, func(w *world) {
@@ -45,7 +45,7 @@
 }
 
 // Two readers without a link to each other receive the tallies of each other's zones from the third.
-func TestReadersThatDoNotHearEachOtherHoldALimit(t *testing.T) {
+func TestUnconnectedReadersKeepALimit(t *testing.T) {
 	inWorldOf(t, 15, func(w *world) {
 		linked(w)
 		w.zones = []string{"a", "b", "c"}
--- a/entry/reload_test.go
+++ b/entry/reload_test.go
@@ -18,7 +18,7 @@
 // starts. If that is read from the current settings instead of those at the start, a reload without it
 // makes daemons that never read the other daemons' rows, because they had links by then, fall back to their
 // own share: a quarter of all requests was refused as over the limit, with a Retry-After of minutes.
-func TestChangedSettingsLeaveLimitsAsTheyAre(t *testing.T) {
+func TestAReloadKeepsLimits(t *testing.T) {
 	inWorldOf(t, 24, func(w *world) {
 		w.first = true
 		w.store.SetFault(standin.RowsFault{Late: hurried})
@@ -41,7 +41,7 @@
 var hurried = map[string]time.Duration{"daemon-3": time.Second, "daemon-4": time.Second, "daemon-5": time.Second}
 
 // The same for daemons that restart beside others, and have links before the store answers them.
-func TestADaemonThatStartsAnewUsesLimitsAsTheOthersDo(t *testing.T) {
+func TestARestartedDaemonUsesWholeLimits(t *testing.T) {
 	inWorldOf(t, 24, func(w *world) { w.first = true }, func(w *world) {
 		w.runner(plain, "a", "i-1", 0)
 		w.rate = 8000
--- a/entry/rest_test.go
+++ b/entry/rest_test.go
@@ -58,7 +58,7 @@
 // the answer counted as that of a full endpoint, which does not affect the next selection, and Retry-After was
 // not read, requests were refused although other engines had room: one went to the same two engines three times
 // in 50 ms, and an engine that asked for 3 s got 5 to 14 requests from one daemon in that time, of 2 allowed.
-func TestAnEndpointThatAsksForRestGetsIt(t *testing.T) {
+func TestRetryAfterOfAnEndpointIsRespected(t *testing.T) {
 	const rest = 3 * time.Second
 	for _, daemons := range []int{3, 60} {
 		inZones(t, daemons, []string{"a", "b", "c"}, func(w *world) {
@@ -84,7 +84,7 @@
 }
 
 // Callers that retry after the Retry-After they got are served.
-func TestWhereAllEndpointsRestCallersAreToldWhenToComeBack(t *testing.T) {
+func TestRetryAfterWhenAllEndpointsPause(t *testing.T) {
 	for _, service := range []string{engines, plain} {
 		inZones(t, 3, []string{"a", "b", "c"}, func(w *world) {
 			ask := w.askOf
@@ -128,7 +128,7 @@
 }
 
 // An invalid Retry-After is ignored: the endpoint is used as before.
-func TestABadTimeOfRestLosesNothing(t *testing.T) {
+func TestInvalidRetryAfterIsIgnored(t *testing.T) {
 	for _, bad := range []string{"-3", "soon", "NaN", "1e12", "+Inf", "Wed, 21 Oct 2065 07:28:00 GMT", "0x10", "3 4"} {
 		inWorld(t, 2, func(w *world) {
 			r := w.runner(plain, "a", "i-0", 0)
--- a/entry/restart_test.go
+++ b/entry/restart_test.go
@@ -28,7 +28,7 @@
 
 // An endpoint that restarts under its id between two reads of the daemons is a new one: requests go to its
 // new address, and its earlier failures do not count.
-func TestAnEndpointThatStartsAgainUnderItsIDIsANewOne(t *testing.T) {
+func TestARestartedEndpointIsANewOne(t *testing.T) {
 	inWorld(t, 3, func(w *world) {
 		r := w.runner(plain, "a", "i-1", 0)
 		for i := range 3 {
@@ -50,7 +50,7 @@
 
 // Streams on an earlier start of an endpoint are aborted once its next start is known, not at their
 // deadline, and continue elsewhere.
-func TestStreamsOfAnEarlierStartGoOnElsewhereAtOnce(t *testing.T) {
+func TestStreamsOfAnEarlierStartEndAtOnce(t *testing.T) {
 	inWorld(t, 2, func(w *world) {
 		r := w.runner(engines, "a", "i-1", 8)
 		r.SetFault(standin.RunnerFault{Mute: true})
@@ -88,7 +88,7 @@
 
 // An entry that becomes unreadable removes its endpoint, as a change or in a full read, whatever other
 // entries there are; an entry that becomes readable adds it again.
-func TestAnEntryThatCannotBeReadNamesNoEndpoint(t *testing.T) {
+func TestAnUnreadableEntryRemovesItsEndpoint(t *testing.T) {
 	for name, bad := range map[string]string{
 		"no JSON": "{", "another writer's": `{"service":"plain","address":7}`, "a state we do not know": "",
 	} {
@@ -121,7 +121,7 @@
 }
 
 // An entry of a service that the configuration does not define is used once the configuration defines it.
-func TestAServiceThatIsNamedLaterMakesItsEntriesGood(t *testing.T) {
+func TestEntriesOfALaterDefinedServiceAreUsed(t *testing.T) {
 	inWorld(t, 2, func(w *world) {
 		w.runner("later", "a", "i-1", 0)
 		time.Sleep(500 * time.Millisecond)
@@ -136,7 +136,7 @@
 }
 
 // Invalid rows in the table of daemons and among the verdicts on requests are ignored; the valid rows hold.
-func TestRowsOfAnotherWriterArePassedOver(t *testing.T) {
+func TestInvalidRowsAreIgnored(t *testing.T) {
 	inWorld(t, 2, func(w *world) {
 		c := &crashWorld{world: w}
 		c.endpoints(engines, 8, 8)
--- a/entry/return_test.go
+++ b/entry/return_test.go
@@ -78,7 +78,7 @@
 // When each daemon used only its own share of each limit until it had a report of the others' admissions,
 // 99 boxes refused nearly every request of the first quarter of a second, and half of the retries at the
 // given Retry-After.
-func TestNobodyBelowALimitIsRefusedAfterAllHaveStartedAnew(t *testing.T) {
+func TestNobodyBelowALimitIsRefusedAfterAFullRestart(t *testing.T) {
 	for _, daemons := range []int{30, 60, 120} {
 		r := comeBack(t, daemons)
 		t.Logf("%d daemons: ready after %s, answers by status %v, last refusal after %s", daemons, r.ready, r.by, r.last)
@@ -91,7 +91,7 @@
 // limit, its burst and the bound for starts, since each restart forgets earlier admissions. With the
 // regular queries alone, 0.45 s after each start, 1,194 to 1,239 requests were admitted; with reports at
 // the start but the regular interval afterwards, 1,423.
-func TestStartsOfAllAddLittleToALimit(t *testing.T) {
+func TestRepeatedFullRestartsKeepALimit(t *testing.T) {
 	const daemons, rate, span = 60, 100, 8 * time.Second // plain requests a second
 	var ok int
 	inWorldOf(t, daemons, func(w *world) {
--- a/entry/rollout_test.go
+++ b/entry/rollout_test.go
@@ -118,7 +118,7 @@
 
 // A version without an order gets no requests, whether the platform has started an endpoint of it or
 // another writer has written its entry.
-func TestAVersionThatNobodyOrderedGetsNothing(t *testing.T) {
+func TestAVersionWithoutAnOrderGetsNoRequests(t *testing.T) {
 	inWorld(t, 2, func(w *world) {
 		w.versions(plain, "v1", 3, 0, standin.RunnerFault{})
 		time.Sleep(time.Second)
@@ -235,7 +235,7 @@
 
 // The number of an order selects the endpoints that its version uses while on trial. With some numbers all
 // answers but one or two came from one endpoint, which was not enough to judge the version.
-func TestABadVersionIsRolledBackWhateverItsOrdersNumber(t *testing.T) {
+func TestABadVersionIsRolledBackForAnyOrderNumber(t *testing.T) {
 	for writes := range 8 {
 		t.Run(fmt.Sprintf("%d writes before it", writes), func(t *testing.T) {
 			before := func(w *world) {
@@ -265,7 +265,7 @@
 
 // A roll-out must not depend on the memory of the daemons: all of them restart during a roll-out, or after
 // its end.
-func TestARollOutOutlivesAllDaemons(t *testing.T) {
+func TestARollOutSurvivesAFullRestart(t *testing.T) {
 	for name, after := range map[string]time.Duration{"in the middle": 2 * time.Second, "after its end": 15 * time.Second} {
 		t.Run(name, func(t *testing.T) {
 			const length = 6 * time.Second
@@ -293,7 +293,7 @@
 	}
 }
 
-func TestOrdersThatNeedNothingOrCannotBeRead(t *testing.T) {
+func TestCompletedInvalidAndWithdrawnOrders(t *testing.T) {
 	inWorld(t, 2, func(w *world) {
 		old := w.versions(plain, "v1", 2, 0, standin.RunnerFault{})
 		time.Sleep(4 * time.Second)
@@ -327,7 +327,7 @@
 
 // A daemon that gets no reports sends nothing to an untried version, which may have been rolled back
 // meanwhile.
-func TestADaemonThatIsCutOffSendsNothingToAnUntriedVersion(t *testing.T) {
+func TestAnIsolatedDaemonSendsNothingToAnUntriedVersion(t *testing.T) {
 	inZones(t, 3, []string{"a", "b"}, func(w *world) {
 		w.versions(plain, "v1", 4, 0, standin.RunnerFault{})
 		time.Sleep(4 * time.Second)
@@ -355,7 +355,7 @@
 
 // All daemons restart after a version was completed and the old endpoints have gone. They must read the
 // state of the roll-out at once, not once some daemon holds the lease for the duties.
-func TestAfterACompletedRollOutDaemonsThatStartServeAtOnce(t *testing.T) {
+func TestRestartedDaemonsServeAtOnceAfterARollOut(t *testing.T) {
 	inZones(t, 3, []string{"a", "b"}, func(w *world) {
 		old := w.versions(plain, "v1", 3, 0, standin.RunnerFault{})
 		time.Sleep(4 * time.Second)
--- a/entry/rolloutdrawn_test.go
+++ b/entry/rolloutdrawn_test.go
@@ -48,8 +48,8 @@
 	})
 }
 
-// Runs outages drawn from seeds, as TestCallersAreServedThroughDrawnCuts does for cuts.
-func TestABadVersionIsRolledBackThroughDrawnOutages(t *testing.T) {
+// Runs outages drawn from seeds, as TestCallersAreServedThroughRandomCuts does for cuts.
+func TestABadVersionIsRolledBackThroughRandomOutages(t *testing.T) {
 	for _, seed := range drawnSeeds(2) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) { drawnOutage(t, seed) })
 	}
--- a/entry/serve_test.go
+++ b/entry/serve_test.go
@@ -49,7 +49,7 @@
 	})
 }
 
-func TestOurOwnAnswers(t *testing.T) {
+func TestGeneratedErrorAnswers(t *testing.T) {
 	inWorld(t, 1, func(w *world) {
 		assert.Equal(t, http.StatusNotFound, w.ask(0, http.MethodPost, "/none/", "id-1").status)
 		assert.Equal(t, http.StatusUnauthorized, w.ask(0, http.MethodPost, "/write/", "id-2", "Api-Key", "wrong").status)
@@ -62,7 +62,7 @@
 	})
 }
 
-func TestBeforeTheFirstConfigurationNothingIsDenied(t *testing.T) {
+func TestRequestsAreUnavailableBeforeTheFirstConfiguration(t *testing.T) {
 	inWorld(t, 0, func(w *world) {
 		w.store.SetFault(standin.RowsFault{Busy: true})
 		w.start()
@@ -109,7 +109,7 @@
 	})
 }
 
-func TestASafeRequestIsSentAgain(t *testing.T) {
+func TestASafeRequestIsRetried(t *testing.T) {
 	for name, f := range map[string]standin.RunnerFault{
 		"cut": {CutAnswer: true}, "other id": {OtherID: true}, "failed": {Fail: true},
 	} {
@@ -151,7 +151,7 @@
 	})
 }
 
-func TestAResumableStreamGoesOnElsewhere(t *testing.T) {
+func TestAResumableStreamResumesElsewhere(t *testing.T) {
 	for name, f := range map[string]standin.RunnerFault{
 		"between events": {CutAfter: 3}, "within an event": {CutAfter: 3, CutEvent: true}, "before the first": {Mute: true},
 	} {
@@ -171,7 +171,7 @@
 	}
 }
 
-func TestABrokenStreamDoesNotLookWhole(t *testing.T) {
+func TestABrokenStreamEndsWithAnError(t *testing.T) {
 	inWorld(t, 1, func(w *world) {
 		r1, r2 := w.runner(engines, "a", "i-1", 8), w.runner(engines, "a", "i-2", 8)
 		r1.SetFault(standin.RunnerFault{CutAfter: 3, CutEvent: true})
@@ -183,7 +183,7 @@
 	})
 }
 
-func TestALeavingCallerIsCancelledAtTheEndpoint(t *testing.T) {
+func TestADisconnectedCallerIsCancelledAtTheEndpoint(t *testing.T) {
 	inWorld(t, 1, func(w *world) {
 		r := w.runner(engines, "a", "i-1", 1000)
 		w.client.Timeout = 300 * time.Millisecond
@@ -195,7 +195,7 @@
 	})
 }
 
-func TestTheRouteBoundsTheTime(t *testing.T) {
+func TestTheRouteTimeoutApplies(t *testing.T) {
 	inWorld(t, 1, func(w *world) {
 		w.routes[2]["timeout_ms"] = 700
 		w.put()
@@ -224,7 +224,7 @@
 	})
 }
 
-func TestTheErrorOfTheModelIsShown(t *testing.T) {
+func TestTheModelErrorIsExported(t *testing.T) {
 	inWorld(t, 1, func(w *world) {
 		w.runner(engines, "a", "i-1", 3)
 		require.NoError(t, w.ask(0, http.MethodPost, "/digest/", "id-1", "Streambend-Prompt-Prefix", "a1:300,b2:50").err)
--- a/entry/silence_test.go
+++ b/entry/silence_test.go
@@ -16,7 +16,7 @@
 // All engines take longer to the first event than a request's target, as they do while a zone has been
 // reclaimed. A resend then helps nobody and uses up the retry budget, so a request whose retry is denied
 // must wait where it is.
-func TestSlowEnginesEndNoRequestForWantOfRetries(t *testing.T) {
+func TestSlowEnginesDoNotExhaustRetries(t *testing.T) {
 	inWorld(t, 2, func(w *world) {
 		for i := range 4 {
 			w.runner(engines, "a", fmt.Sprint("i-", i), 2).SetFault(standin.RunnerFault{Slower: 40})
@@ -34,7 +34,7 @@
 
 // Half of the retry budget is reserved for streams that have begun, since those are lost without a retry
 // when their endpoint ends.
-func TestAStreamThatHasBegunIsTakenUpThoughOthersWereSentAgain(t *testing.T) {
+func TestBegunStreamsHaveReservedRetries(t *testing.T) {
 	inWorld(t, 1, func(w *world) {
 		r := w.runner(engines, "a", "i-0", 30)
 		slow := []*standin.Runner{w.runner(engines, "a", "i-1", 2), w.runner(engines, "a", "i-2", 2)}
--- a/entry/sleep_test.go
+++ b/entry/sleep_test.go
@@ -37,7 +37,7 @@
 	}, func(w *world) { f(w, func(d time.Duration) { slept.Add(int64(d)) }) })
 }
 
-func TestWhatABoxBelievedBeforeItSleptIsNotUsed(t *testing.T) {
+func TestStateFromBeforeASuspensionIsNotUsed(t *testing.T) {
 	inSleepyWorld(t, 2, func(w *world, sleep func(time.Duration)) {
 		w.runner(plain, "a", "i-1", 0)
 		time.Sleep(time.Second)
@@ -63,7 +63,7 @@
 }
 
 // A request whose deadline passed during the suspension is ended as the box wakes.
-func TestADeadlineThatPassedInSleepIsOver(t *testing.T) {
+func TestADeadlinePassedInASuspensionEndsTheRequest(t *testing.T) {
 	inSleepyWorld(t, 1, func(w *world, sleep func(time.Duration)) {
 		r := w.runner(engines, "a", "i-1", 1000)
 		done := make(chan answer)
@@ -81,7 +81,7 @@
 
 // A lease that expired during the suspension must not be acted under, since another daemon may hold it. The
 // box is suspended at ten moments between two reports.
-func TestALeaseThatEndedInSleepIsNotActedUnder(t *testing.T) {
+func TestALeaseExpiredInASuspensionIsNotUsed(t *testing.T) {
 	for at := range 10 {
 		inSleepyWorld(t, 2, func(w *world, sleep func(time.Duration)) {
 			// Between two checks for due work, every 250 ms: a call in transit at the suspension does not
--- a/entry/start_test.go
+++ b/entry/start_test.go
@@ -17,7 +17,7 @@
 
 // A daemon that starts beside many others makes few calls to the store: afterwards its zone's reader reads
 // for it.
-func TestManyDaemonsAskLittleOfTheStoreAsTheyStart(t *testing.T) {
+func TestStartsOfManyDaemonsMakeFewStoreCalls(t *testing.T) {
 	const daemons = 60
 	inWorldOf(t, daemons, func(w *world) {
 		w.first = true
@@ -49,7 +49,7 @@
 // When the whole system starts for the first time, its configuration may come after the daemons. The zones'
 // readers wait for it and the others for their reader's answer. When all polled the store, each of 99 made
 // eight calls until then; four are enough.
-func TestManyDaemonsWaitForTheFirstConfigurationWithoutAsking(t *testing.T) {
+func TestManyDaemonsWaitForTheFirstConfigurationWithoutPolling(t *testing.T) {
 	const daemons, readers = 60, 6
 	var all, feeds int
 	inWorldOf(t, daemons, func(w *world) {
@@ -82,7 +82,7 @@
 
 // A new daemon must start from its peers while the store is down: it finds them by its settings, without
 // waiting for its own calls to the store to fail.
-func TestANewDaemonStartsFromOthersWhileTheStoreIsAway(t *testing.T) {
+func TestANewDaemonStartsFromPeersWhileTheStoreIsDown(t *testing.T) {
 	inWorldOf(t, 16, func(w *world) { w.seeds = []string{"10.0.0.1:82", "10.0.0.2:82"} }, func(w *world) {
 		w.runner(plain, "a", "i-1", 0)
 		time.Sleep(time.Second)
--- a/entry/state_test.go
+++ b/entry/state_test.go
@@ -19,7 +19,7 @@
 	"streambend.example/platform"
 )
 
-func TestAConfigurationIsInForceSoonAndNeverGoesBack(t *testing.T) {
+func TestAConfigurationAppliesSoonAndNeverRegresses(t *testing.T) {
 	inWorld(t, 2, func(w *world) {
 		w.runner(plain, "a", "i-1", 0)
 		w.routes = append(w.routes, w.route("/new/", "unsafe", plain, nil))
@@ -36,7 +36,7 @@
 	})
 }
 
-func TestAForgottenHistoryIsReadAnew(t *testing.T) {
+func TestATruncatedHistoryCausesAFullRead(t *testing.T) {
 	inWorld(t, 1, func(w *world) {
 		r := w.runner(plain, "a", "i-1", 0)
 		w.store.SetFault(standin.RowsFault{Busy: true})
@@ -53,7 +53,7 @@
 	})
 }
 
-func TestEndpointsThatLapseInAnOutageAreHeld(t *testing.T) {
+func TestEndpointsThatExpireInAnOutageAreKept(t *testing.T) {
 	inWorld(t, 1, func(w *world) {
 		r := w.runner(plain, "a", "i-1", 0)
 		w.store.SetFault(standin.RowsFault{Silent: true})
@@ -71,7 +71,7 @@
 	})
 }
 
-func TestEntriesThatComeBackLateAfterAnOutageLoseNothing(t *testing.T) {
+func TestLateEntriesAfterAnOutageLoseNoRequests(t *testing.T) {
 	inWorld(t, 1, func(w *world) {
 		r := w.runner(plain, "a", "i-1", 0)
 		w.store.SetFault(standin.RowsFault{Busy: true})
@@ -89,7 +89,7 @@
 	})
 }
 
-func TestARevokedKeyIsDeadAtABoxThatIsCutOff(t *testing.T) {
+func TestARevokedKeyExpiresAtAnIsolatedBox(t *testing.T) {
 	inWorld(t, 1, func(w *world) {
 		w.runner(plain, "a", "i-1", 0)
 		w.store.SetFault(standin.RowsFault{Silent: true})
@@ -113,7 +113,7 @@
 	})
 }
 
-func TestPeersKeepABoxFreshThatTheStoreTurnsAway(t *testing.T) {
+func TestPeersUpdateABoxThatTheStoreRefuses(t *testing.T) {
 	inWorld(t, 3, func(w *world) {
 		w.runner(plain, "a", "i-1", 0)
 		w.store.SetFault(standin.RowsFault{Away: map[string]bool{"daemon-0": true}})
@@ -194,7 +194,7 @@
 	})
 }
 
-func TestALostAnswerOfTheAPIIsRepeatedToTheLetter(t *testing.T) {
+func TestACallWithALostAnswerIsRepeatedVerbatim(t *testing.T) {
 	inWorld(t, 2, func(w *world) {
 		w.runner(plain, "a", "i-1", 0)
 		w.api.SetLose(true)
@@ -216,7 +216,7 @@
 	})
 }
 
-func TestDutiesGoOnAtAnotherDaemonUnderAHigherFence(t *testing.T) {
+func TestDutiesMoveToAnotherDaemonUnderAHigherFence(t *testing.T) {
 	inWorld(t, 3, func(w *world) {
 		time.Sleep(10 * time.Second)
 		calls := w.api.Calls("/usage")
@@ -238,7 +238,7 @@
 	})
 }
 
-func TestDutiesGoOnSoonAfterAllDaemonsDied(t *testing.T) {
+func TestDutiesResumeSoonAfterAFullRestart(t *testing.T) {
 	inWorld(t, 3, func(w *world) {
 		time.Sleep(6 * time.Second)
 		calls := w.api.Calls("/usage")
@@ -257,7 +257,7 @@
 	})
 }
 
-func TestEndpointsAreCountedOnceNoMoreAreFound(t *testing.T) {
+func TestScalingWaitsUntilAllEndpointsAreFound(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t)
 		w.put()
@@ -355,7 +355,7 @@
 	})
 }
 
-func TestAnOutageOfOneReaderHoldsNobodyElseUp(t *testing.T) {
+func TestAnOutageOfOneReaderDelaysNoOtherDaemon(t *testing.T) {
 	inWorld(t, 3, func(w *world) {
 		r := w.runner(plain, "a", "i-1", 0)
 		w.runner(plain, "a", "i-2", 0)
--- a/entry/tally_test.go
+++ b/entry/tally_test.go
@@ -25,7 +25,7 @@
 	return out
 }
 
-func TestWhatOthersAdmitIsHeardOnce(t *testing.T) {
+func TestRemoteAdmissionsAreChargedOnce(t *testing.T) {
 	a, b, c := tallies("a", 1), tallies("b", 1), tallies("c", 1)
 	a.Admit("team", 10)
 	assert.Equal(t, []entry.Admitted{{Team: "team", Units: 10}}, exchange(start, a, b, "a", "b"))
@@ -46,7 +46,7 @@
 	assert.Equal(t, []entry.Admitted{{Team: "team", Units: 9}}, exchange(start, young, old, "young", "old"), "a younger daemon reports only its own time")
 }
 
-func TestRequestsThatRunAddUpOverLivingDaemons(t *testing.T) {
+func TestRunningRequestsAddUpOverLivingDaemons(t *testing.T) {
 	a, b := tallies("a", 1), tallies("b", 1)
 	a.SetRunning(map[string]int{"engines": 7})
 	b.SetRunning(map[string]int{"engines": 2})
@@ -72,7 +72,7 @@
 	assert.Equal(t, map[string]int{"x": 4, "y": 1}, b.Window(7))
 }
 
-func TestABucketHoldsTheRateAndPaysBack(t *testing.T) {
+func TestABucketKeepsTheRateAndRepaysDebt(t *testing.T) {
 	q := entry.NewQuotas(true)
 	team := &version.Tenant{Name: "x", Rate: 100, Burst: 50}
 	admitted := 0.0
@@ -117,7 +117,7 @@
 
 // A reader sends another one what it received from daemons directly. What it has from other readers goes
 // only to readers without links to all others.
-func TestAReaderTellsOnlyWhatDaemonsHaveToldIt(t *testing.T) {
+func TestAReaderSendsOnlyDirectTallies(t *testing.T) {
 	reader, far, near := tallies("reader", 1), tallies("far", 1), tallies("near", 1)
 	near.Admit("team", 5)
 	far.Admit("team", 7)
@@ -135,7 +135,7 @@
 
 // A reader that knows a daemon's tally from another reader must forward it once it receives the same tally
 // from the daemon itself, since other readers query it for direct tallies only.
-func TestWhatADaemonRepeatsToAnotherReaderIsPassedOn(t *testing.T) {
+func TestATallyRepeatedToAnotherReaderIsForwarded(t *testing.T) {
 	daemon, old, next := tallies("daemon", 1), tallies("old", 1), tallies("next", 1)
 	daemon.Admit("team", 5)
 	old.Merge(start, "daemon", []conn.Tally{daemon.Own()})
--- a/entry/tallymodel_test.go
+++ b/entry/tallymodel_test.go
@@ -85,7 +85,7 @@
 // Readers that exchange only changes must end up with the same state as with whole tallies: each count is
 // exact in the end and each unit charged once, whichever answers are lost, readers change or daemons report
 // to another zone's reader.
-func TestReadersKnowAllCountsInTheEnd(t *testing.T) {
+func TestReadersConvergeOnAllCounts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := &counters{
 			now: start, tallies: make(map[string]*entry.Tallies), told: make(map[feed]uint64), window: 100,
--- a/entry/wall_test.go
+++ b/entry/wall_test.go
@@ -21,7 +21,7 @@
 	return worst
 }
 
-func TestAStepOfTheTimeOfDayIsNotFollowedAtOnce(t *testing.T) {
+func TestAShortWallClockStepIsIgnored(t *testing.T) {
 	w := entry.NewWall(start, start)
 	assert.Zero(t, run(w, 0, 10*time.Second, 0))
 	assert.Zero(t, run(w, 10*time.Second, 18*time.Second, -3*time.Second), "back")
@@ -30,14 +30,14 @@
 	assert.Zero(t, run(w, 36*time.Second, 50*time.Second, 0))
 }
 
-func TestAStepThatLastsIsBelieved(t *testing.T) {
+func TestALastingWallClockStepIsAdopted(t *testing.T) {
 	w := entry.NewWall(start, start)
 	run(w, 0, 70*time.Second, 5*time.Second)
 	now := start.Add(70 * time.Second)
 	assert.Equal(t, now.Add(5*time.Second), w.At(now))
 }
 
-func TestADriftIsFollowed(t *testing.T) {
+func TestWallClockDriftIsTracked(t *testing.T) {
 	w := entry.NewWall(start, start)
 	for at := time.Duration(0); at < time.Hour; at += time.Second {
 		now := start.Add(at)
@@ -47,7 +47,7 @@
 	}
 }
 
-func TestADaemonThatStartsWithinAStepTakesAnothersTime(t *testing.T) {
+func TestADaemonStartedDuringAClockStepAdoptsPeerTime(t *testing.T) {
 	w := entry.NewWall(start, start.Add(-3*time.Second))
 	w.Set(start.Add(time.Second), start.Add(time.Second))
 	assert.Zero(t, run(w, 2*time.Second, 8*time.Second, -3*time.Second))
--- a/entry/wordcost_test.go
+++ b/entry/wordcost_test.go
@@ -16,7 +16,7 @@
 // that all refuse requests and ask for a pause of one second. Beyond the usual traffic this takes 1,630
 // bytes a second and daemon by way of the zones' readers, and 37,550 if sent to all over all links. The
 // bound is 2 KB a second.
-func TestTellingOfRestsCostsADaemonLittle(t *testing.T) {
+func TestSharingPausesTakesLittleTraffic(t *testing.T) {
 	const daemons, span = 60, 6 * time.Second
 	sent := func(f standin.RunnerFault) (perSecond float64) {
 		inZones(t, daemons, []string{"a", "b", "c"}, func(w *world) {
