--- a/entry/age_test.go
+++ b/entry/age_test.go
@@ -20,10 +20,10 @@
 // KB, weak boxes gave up after 0.7 s each and their links, 1.0 to 1.4 MB/s, stayed full of answers that
 // nobody waited for, although 0.8 MB were enough.
 func TestLargeConfigurationAppliesWithinBound(t *testing.T) {
-	atSize(t, func(w *world) {
+	inLargeWorld(t, func(w *world) {
 		old, now := w.runner(plain, "a", "i-old", 0), w.runner("other", "a", "i-new", 0)
 		time.Sleep(3 * time.Second)
-		w.bulk = bulk(1600) // 0.3 MB: 0.76 s over a weak link
+		w.unusedRoutes = manyRoutes(1600) // 0.3 MB: 0.76 s over a weak link
 		w.routes[2]["service"] = "other"
 		w.put()
 		time.Sleep(500 * time.Millisecond)
@@ -41,37 +41,37 @@
 // with keys were refused, from an age of 4.75 s on, while requests on routes without keys were still sent
 // to a service that had been replaced.
 func TestStaleConfigurationRefusesRequests(t *testing.T) {
-	replaced(t, func(w *world) { w.links["daemon-0"].Cut(peerPort, storeAddress) })
+	checkStaleConfiguration(t, func(w *world) { w.links["daemon-0"].Cut(peerPort, storeAddress) })
 }
 
 // The list of endpoints stays fresh here, so that only the configuration's own age can cause the refusal.
 func TestStaleConfigurationRefusesRequestsDespiteFreshList(t *testing.T) {
-	replaced(t, func(w *world) {
+	checkStaleConfiguration(t, func(w *world) {
 		w.links["daemon-0"].Cut(peerPort)
 		w.store.SetFault(standin.RowsFault{Mute: platform.CatalogTable, Muted: map[string]bool{"daemon-0": true}})
 	})
 }
 
-// replaced keeps the change of a route's service from the first daemon, and checks that this daemon refuses
-// requests and is unready after the bound.
-func replaced(t *testing.T, keep func(w *world)) {
+// checkStaleConfiguration keeps the change of a route's service from the first daemon, and checks that this
+// daemon refuses requests and is unready after the bound.
+func checkStaleConfiguration(t *testing.T, isolate func(w *world)) {
 	t.Helper()
-	inWorldOf(t, 3, linked, func(w *world) {
+	inWorldOf(t, 3, withLinks, func(w *world) {
 		old := w.runner(plain, "a", "i-old", 0)
 		w.routes[2]["public"] = true
 		w.put()
 		time.Sleep(time.Second)
-		keep(w)
+		isolate(w)
 		w.routes[2]["service"] = "other"
 		w.put()
 		time.Sleep(bound + 100*time.Millisecond)
-		w.refuses(0)
+		w.checkRefuses(0)
 		assert.Zero(t, len(old.Ran()))
 	})
 }
 
-// refuses checks for four seconds that a daemon refuses requests and is unready, since others can serve.
-func (w *world) refuses(daemon int) {
+// checkRefuses checks for four seconds that a daemon refuses requests and is unready, since others can serve.
+func (w *world) checkRefuses(daemon int) {
 	for n := range 20 {
 		a := w.ask(daemon, http.MethodPost, "/write/", fmt.Sprint("id-", n))
 		assert.Equal(w.t, http.StatusServiceUnavailable, a.status)
@@ -126,14 +126,14 @@
 // kept the daemon from reading the list. This cause was found in the code; the run that failed did not
 // reproduce it.
 func TestStaleEndpointListIsNotUsed(t *testing.T) {
-	inWorldOf(t, 3, linked, func(w *world) {
+	inWorldOf(t, 3, withLinks, func(w *world) {
 		leaves := w.runner(plain, "a", "i-leaves", 0)
 		time.Sleep(time.Second)
 		w.links["daemon-0"].Cut(peerPort)
 		w.store.SetFault(standin.RowsFault{Mute: platform.RunnerTable, Muted: map[string]bool{"daemon-0": true}})
 		w.store.Put(platform.RunnerTable, "", "i-leaves", leaves.Entry(plain, "a", "draining"))
 		time.Sleep(bound)
-		w.refuses(0)
+		w.checkRefuses(0)
 		assert.Zero(t, len(leaves.Ran()))
 	})
 }
@@ -143,14 +143,14 @@
 func TestSelectionStaleAfterDialIsNotSent(t *testing.T) {
 	inWorld(t, 1, func(w *world) {
 		r := w.runner(plain, "a", "i-1", 0)
-		w.connect.Store(int64(bound))
+		w.connectDelay.Store(int64(bound))
 		began := time.Now()
 		a := w.ask(0, http.MethodPost, "/write/", "id-1")
 		assert.Equal(t, http.StatusServiceUnavailable, a.status, "the request has not run")
 		assert.Less(t, time.Since(began), bound)
 		time.Sleep(2 * bound)
 		assert.Zero(t, len(r.Ran()))
-		w.connect.Store(0)
+		w.connectDelay.Store(0)
 		assert.Equal(t, http.StatusOK, w.ask(0, http.MethodPost, "/write/", "id-2").status, "the endpoint is not ejected")
 	})
 }
@@ -163,21 +163,21 @@
 	peerPort = ":82"
 )
 
-// linked gives each box its own link.
-func linked(w *world) { w.links = make(map[string]*standin.Link) }
+// withLinks gives each box its own link.
+func withLinks(w *world) { w.links = make(map[string]*standin.Link) }
 
-// atSize runs f in a deployment of 16 boxes, most of them weak.
-func atSize(t *testing.T, f func(w *world)) {
+// inLargeWorld runs f in a deployment of 16 boxes, most of them weak.
+func inLargeWorld(t *testing.T, f func(w *world)) {
 	t.Helper()
 	inWorldOf(t, 16, func(w *world) {
-		linked(w)
+		withLinks(w)
 		w.zones = []string{"a", "b", "c", "d"}
-		w.strong = len(w.zones)
+		w.strongBoxes = len(w.zones)
 	}, f)
 }
 
-// bulk returns routes that get no requests, 190 bytes each.
-func bulk(n int) []map[string]any {
+// manyRoutes returns routes that get no requests, 190 bytes each.
+func manyRoutes(n int) []map[string]any {
 	var out []map[string]any
 	for i := range n {
 		name := fmt.Sprintf("%08x", uint32(i)*2654435761)
@@ -193,9 +193,9 @@
 // them.
 func TestLargeConfigurationIsReadOverSlowLink(t *testing.T) {
 	inWorldOf(t, 1, func(w *world) {
-		linked(w)
-		w.strong = -1
-		w.bulk = bulk(3200)
+		withLinks(w)
+		w.strongBoxes = -1
+		w.unusedRoutes = manyRoutes(3200)
 	}, func(w *world) {
 		w.runner(plain, "a", "i-1", 0)
 		time.Sleep(2 * time.Second)
@@ -207,11 +207,11 @@
 // Each configuration must arrive completely before the next one may replace it, so that frequent changes
 // delay no daemon beyond the bound.
 func TestLargeConfigurationsInQuickSuccession(t *testing.T) {
-	atSize(t, func(w *world) {
+	inLargeWorld(t, func(w *world) {
 		w.runner(plain, "a", "i-1", 0)
 		time.Sleep(2 * time.Second)
 		for n := range 8 {
-			w.bulk = bulk(1600 + n)
+			w.unusedRoutes = manyRoutes(1600 + n)
 			w.put()
 			time.Sleep(200 * time.Millisecond)
 			for i := range w.daemons {
--- a/entry/bytes_test.go
+++ b/entry/bytes_test.go
@@ -41,12 +41,12 @@
 	inWorldOf(t, daemons, func(w *world) {
 		w.zones = []string{"a", "b", "c", "d", "e", "f"}
 		for i := range teams {
-			w.more = append(w.more, fmt.Sprint("team-", i))
+			w.extraTeams = append(w.extraTeams, fmt.Sprint("team-", i))
 		}
 	}, func(w *world) {
 		w.runner(plain, "a", "i-1", 0)
 		ask := func(n int) {
-			w.ask(n%daemons, http.MethodPost, "/write/", fmt.Sprint("id-", n), "Api-Key", "key of "+w.more[(n+n/daemons)%teams])
+			w.ask(n%daemons, http.MethodPost, "/write/", fmt.Sprint("id-", n), "Api-Key", "key of "+w.extraTeams[(n+n/daemons)%teams])
 		}
 		for n := range daemons * teams { // afterwards each daemon has counted for each team
 			go ask(n)
--- a/entry/crash_test.go
+++ b/entry/crash_test.go
@@ -23,11 +23,11 @@
 const (
 	crashing = "crashes what runs it"
 
-	// crashesMost is the maximum number of crashes until a request is held back: three establish the
+	// maxCrashes is the maximum number of crashes until a request is held back: three establish the
 	// cause, and one more attempt may be in flight.
-	crashesMost = 4
-	// sendsMost is the maximum number of sends once the cause is known, over all daemons.
-	sendsMost = 3
+	maxCrashes = 4
+	// maxSends is the maximum number of sends once the cause is known, over all daemons.
+	maxSends = 3
 	// knownAfter is the time after the third crash by which all daemons know of it.
 	knownAfter = 3 * time.Second
 )
@@ -64,7 +64,7 @@
 	return n
 }
 
-func (w *crashWorld) served(daemon int, id string) {
+func (w *crashWorld) checkServed(daemon int, id string) {
 	w.t.Helper()
 	a := w.ask(daemon, http.MethodPost, "/explain/", id)
 	assert.NoError(w.t, a.err, "%s at daemon %d", id, daemon)
@@ -85,11 +85,11 @@
 						assert.Equal(t, http.StatusServiceUnavailable, a.status, "refused without a run")
 						assert.NotEmpty(t, a.header.Get("Retry-After"))
 					}
-					c.served(i%4, fmt.Sprint("other-", i))
+					c.checkServed(i%4, fmt.Sprint("other-", i))
 					time.Sleep(100 * time.Millisecond)
 				}
 				assert.GreaterOrEqual(t, c.crashed(), 2)
-				assert.LessOrEqual(t, c.crashed(), crashesMost)
+				assert.LessOrEqual(t, c.crashed(), maxCrashes)
 			})
 		})
 	}
@@ -118,8 +118,8 @@
 			c.crash(i%9, "/explain/")
 			time.Sleep(100 * time.Millisecond)
 		}
-		assert.LessOrEqual(t, c.crashed()-before, sendsMost)
-		c.served(3, "other")
+		assert.LessOrEqual(t, c.crashed()-before, maxSends)
+		c.checkServed(3, "other")
 	})
 }
 
@@ -146,8 +146,8 @@
 			c.crash(i%4, "/explain/")
 			time.Sleep(50 * time.Millisecond)
 		}
-		assert.LessOrEqual(t, c.crashed()-before, sendsMost)
-		c.served(1, "other")
+		assert.LessOrEqual(t, c.crashed()-before, maxSends)
+		c.checkServed(1, "other")
 	})
 }
 
@@ -167,8 +167,8 @@
 		for i := range daemons {
 			c.crash(i, "/explain/")
 		}
-		assert.LessOrEqual(t, c.crashed()-before, sendsMost)
-		c.served(17, "other")
+		assert.LessOrEqual(t, c.crashed()-before, maxSends)
+		c.checkServed(17, "other")
 	})
 }
 
@@ -178,7 +178,7 @@
 	inWorld(t, 4, func(w *world) {
 		c := &crashWorld{world: w}
 		c.endpoints(engines, 20, 8)
-		w.apart.Store(&w.daemons[3].Self.Name)
+		w.isolated.Store(&w.daemons[3].Self.Name)
 		time.Sleep(10 * time.Second)
 		for i := range 4 {
 			c.crash(i%3, "/explain/")
@@ -189,6 +189,6 @@
 		for range 10 {
 			c.crash(3, "/explain/")
 		}
-		assert.LessOrEqual(t, c.crashed()-before, sendsMost)
+		assert.LessOrEqual(t, c.crashed()-before, maxSends)
 	})
 }
--- a/entry/crashbeside_test.go
+++ b/entry/crashbeside_test.go
@@ -48,7 +48,7 @@
 		for _, a := range <-done {
 			assert.NotContains(t, a.body, heldBack)
 		}
-		assert.LessOrEqual(t, c.crashed(), crashesMost)
+		assert.LessOrEqual(t, c.crashed(), maxCrashes)
 		for i := range 60 {
 			a := w.ask(i%4, http.MethodPost, "/explain/", fmt.Sprint("beside-", i)) // the caller retries
 			assert.NoError(t, a.err)
--- a/entry/cutseries_test.go
+++ b/entry/cutseries_test.go
@@ -17,19 +17,19 @@
 	"streambend.example/platform"
 )
 
-// cut is one cut of a series: how long a daemon is cut off from the other daemons, and connected again.
-type cut struct{ off, back time.Duration }
+// cut is how long a daemon is cut off from the other daemons, and connected again afterwards.
+type cut struct{ disconnected, connected time.Duration }
 
-// cutInSeries cuts a daemon off several times, under load at all daemons, and checks that all requests are
-// served.
-func (w *world) cutInSeries(t *testing.T, gone int, series []cut) {
+// checkRepeatedCuts cuts a daemon off several times, under load at all daemons, and checks that all
+// requests are served.
+func (w *world) checkRepeatedCuts(t *testing.T, gone int, series []cut) {
 	all := upTo(len(w.daemons))
 	var answers []answer
 	for _, c := range series {
-		w.apart.Store(&w.daemons[gone].Self.Name)
-		answers = append(answers, w.demand(all, 60, c.off, w.askStream)...)
-		w.apart.Store(nil)
-		answers = append(answers, w.demand(all, 60, c.back, w.askStream)...)
+		w.isolated.Store(&w.daemons[gone].Self.Name)
+		answers = append(answers, w.demand(all, 60, c.disconnected, w.askStream)...)
+		w.isolated.Store(nil)
+		answers = append(answers, w.demand(all, 60, c.connected, w.askStream)...)
 	}
 	for i, a := range answers {
 		assert.Equal(t, http.StatusOK, a.status, "request %d: %s %v", i, a.body, a.err)
@@ -45,14 +45,14 @@
 		t.Run(fmt.Sprint("daemon ", gone), func(t *testing.T) {
 			inLimited(t, 9, func(w *world, _ *standin.Runner) {
 				c := cut{2600 * time.Millisecond, 1300 * time.Millisecond}
-				w.cutInSeries(t, gone, []cut{c, c, c})
+				w.checkRepeatedCuts(t, gone, []cut{c, c, c})
 			})
 		})
 	}
 }
 
-// drawnCuts runs a series of cuts drawn from a seed.
-func drawnCuts(t *testing.T, seed uint64) {
+// checkRandomCuts runs a series of cuts drawn from a seed.
+func checkRandomCuts(t *testing.T, seed uint64) {
 	r := rand.New(rand.NewPCG(seed, 1))
 	daemons := 3 + r.IntN(14)
 	gone := r.IntN(daemons)
@@ -64,15 +64,15 @@
 	delay := time.Duration(r.IntN(40)) * time.Millisecond // of the store's answers
 	inLimited(t, daemons, func(w *world, _ *standin.Runner) {
 		w.store.SetFault(standin.RowsFault{Delay: delay})
-		w.cutInSeries(t, gone, series)
+		w.checkRepeatedCuts(t, gone, series)
 	})
 }
 
-// drawnSeeds returns the seeds to run. SEEDS sets their number, FIRST the first one.
-func drawnSeeds(usually uint64) (out []uint64) {
+// seedsToRun returns the seeds to run. SEEDS sets their number, FIRST the first one.
+func seedsToRun(defaultCount uint64) (out []uint64) {
 	seeds, err := strconv.ParseUint(os.Getenv("SEEDS"), 10, 64)
 	if err != nil {
-		seeds = usually
+		seeds = defaultCount
 	}
 	first, _ := strconv.ParseUint(os.Getenv("FIRST"), 10, 64)
 	for seed := first; seed < first+seeds; seed++ {
@@ -83,8 +83,8 @@
 
 // Runs series of cuts drawn from seeds; seed 3 has failed before.
 func TestCallersAreServedThroughRandomCuts(t *testing.T) {
-	for _, seed := range drawnSeeds(4) {
-		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) { drawnCuts(t, seed) })
+	for _, seed := range seedsToRun(4) {
+		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) { checkRandomCuts(t, seed) })
 	}
 }
 
@@ -95,13 +95,13 @@
 	const alone = 2
 	inLimited(t, 3, func(w *world, _ *standin.Runner) {
 		name := w.daemons[alone].Self.Name
-		w.apart.Store(&name)
+		w.isolated.Store(&name)
 		w.store.SetFault(standin.RowsFault{Mute: platform.RunnerTable, Muted: map[string]bool{name: true}})
 		w.demand([]int{alone}, 60, 2200*time.Millisecond, w.askStream) // until the list is stale
 		for i, a := range w.demand([]int{alone}, 20, time.Second, w.askStream) {
 			assert.Equal(t, http.StatusServiceUnavailable, a.status)
 			assert.Contains(t, a.body, "1103 no-endpoint: the list of endpoints of /engines is too old", "request %d", i)
-			assert.Positive(t, a.waitOf(t))
+			assert.Positive(t, a.retryAfter(t))
 		}
 	})
 }
--- a/entry/elsewhere_test.go
+++ b/entry/elsewhere_test.go
@@ -53,7 +53,7 @@
 // Daemons share the retry budget of a service. A daemon that is cut off takes the others for dead, but they
 // still use their shares, so it must not use more than its own.
 func TestAnIsolatedDaemonKeepsToItsRetryShare(t *testing.T) {
-	inWorldOf(t, 4, linked, func(w *world) {
+	inWorldOf(t, 4, withLinks, func(w *world) {
 		for n := range 40 { // enough that none is ejected for its failures
 			w.runner(plain, "a", fmt.Sprint("i-", n), 0)
 		}
--- a/entry/flow_test.go
+++ b/entry/flow_test.go
@@ -23,18 +23,18 @@
 func TestFlowEstimatorCountsAllAcrossReaderChange(t *testing.T) {
 	var f entry.FlowEstimator
 	now, sum := start, int64(0)
-	word := func(source string, base int64) {
+	report := func(source string, base int64) {
 		now = now.Add(500 * time.Millisecond)
 		// The others admit 1,000 units per second; each reader counts from a different base.
-		told := map[string]int64{"team": base + int64(now.Sub(start)/time.Millisecond)}
-		sum += units(f.Take(now, source, told))
+		admitted := map[string]int64{"team": base + int64(now.Sub(start)/time.Millisecond)}
+		sum += units(f.Take(now, source, admitted))
 	}
 	for range 10 {
-		word("a", 5000)
+		report("a", 5000)
 	}
 	for range 5 {
-		word("b", 0)
-		word("a", 5000)
+		report("b", 0)
+		report("a", 5000)
 	}
 	assert.InDelta(t, 9500, sum, 300, "all but what was admitted before the first report")
 }
--- a/entry/hot_test.go
+++ b/entry/hot_test.go
@@ -20,11 +20,11 @@
 	limitSlack   = 0.35
 )
 
-// turnHot has a team send at half of its limit and then at a multiple of it, and returns when its requests
+// jumpLoad has a team send at half of its limit and then at a multiple of it, and returns when its requests
 // were admitted.
-func turnHot(t *testing.T, daemons, perSecond int, times float64) (through []time.Time) {
+func jumpLoad(t *testing.T, daemons, perSecond int, times float64) (admitted []time.Time) {
 	inWorldOf(t, daemons, func(w *world) {
-		w.first = true
+		w.bootstrap = true
 		w.zones = []string{"a", "b", "c", "d", "e", "f"}
 		w.rate = 200 * float64(perSecond)
 	}, func(w *world) {
@@ -43,14 +43,14 @@
 			go func() {
 				if w.ask((7*n)%daemons, http.MethodPost, "/write/", fmt.Sprint("id-", n)).status == http.StatusOK {
 					mu.Lock()
-					through = append(through, time.Now())
+					admitted = append(admitted, time.Now())
 					mu.Unlock()
 				}
 			}()
 		}
 		time.Sleep(time.Second)
 	})
-	return through
+	return admitted
 }
 
 // A team whose load jumps to a multiple of its limit is admitted by all daemons until they know of each
@@ -61,16 +61,16 @@
 	const perSecond = 100
 	allowed := (limitWindow.Seconds()+1)*perSecond*limitOverage + limitSlack*perSecond
 	for _, times := range []float64{3, 6, 9} {
-		through := turnHot(t, 60, perSecond, times)
+		admitted := jumpLoad(t, 60, perSecond, times)
 		most, from := 0, 0
-		for i, at := range through {
-			for at.Sub(through[from]) > limitWindow {
+		for i, at := range admitted {
+			for at.Sub(admitted[from]) > limitWindow {
 				from++
 			}
 			most = max(most, i+1-from)
 		}
-		t.Logf("%.0f times: at most %d in a window, %.0f allowed; %d in total", times, most, allowed, len(through))
+		t.Logf("%.0f times: at most %d in a window, %.0f allowed; %d in total", times, most, allowed, len(admitted))
 		assert.LessOrEqual(t, float64(most), allowed, "%.0f times the limit", times)
-		assert.GreaterOrEqual(t, len(through), 12*perSecond, "%.0f times the limit: the team gets its full limit", times)
+		assert.GreaterOrEqual(t, len(admitted), 12*perSecond, "%.0f times the limit: the team gets its full limit", times)
 	}
 }
--- a/entry/leaving_test.go
+++ b/entry/leaving_test.go
@@ -34,12 +34,12 @@
 			w.demand(upTo(daemons), 60, time.Second, w.askPlain)
 			w.store.SetFault(standin.RowsFault{Silent: true})
 			leaves.SetFault(standin.RunnerFault{Leaving: "1"})
-			said := time.Now()
+			announced := time.Now()
 			for i, a := range w.demand(upTo(daemons), 60, 3500*time.Millisecond, w.askPlain) {
 				assert.Equal(t, http.StatusOK, a.status, "%d daemons, request %d", daemons, i)
 			}
-			assert.Zero(t, countFrom(leaves.Came(), said.Add(drain)), "%d daemons", daemons)
-			assert.LessOrEqual(t, countFrom(leaves.Came(), said.Add(500*time.Millisecond)), 2, "all daemons learn of it")
+			assert.Zero(t, countFrom(leaves.Came(), announced.Add(drain)), "%d daemons", daemons)
+			assert.LessOrEqual(t, countFrom(leaves.Came(), announced.Add(500*time.Millisecond)), 2, "all daemons learn of it")
 		})
 	}
 }
@@ -52,14 +52,14 @@
 		w.runner(plain, "a", "i-1", 0)
 		time.Sleep(time.Second)
 		leaves.SetFault(standin.RunnerFault{Leaving: "1"})
-		said := time.Now()
+		announced := time.Now()
 		w.demand(upTo(3), 60, 500*time.Millisecond, w.askPlain)
 		w.store.Drop(platform.RunnerTable, "", "i-0")
 		time.Sleep(500 * time.Millisecond)
 		w.store.Put(platform.RunnerTable, "", "i-0", leaves.Entry(plain, "a", "ready"))
 		time.Sleep(2 * time.Second)
 		w.demand(upTo(3), 60, time.Second, w.askPlain)
-		assert.Zero(t, countFrom(leaves.Came(), said.Add(drain)))
+		assert.Zero(t, countFrom(leaves.Came(), announced.Add(drain)))
 		again := w.restart(plain, "a", leaves)
 		w.store.Drop(platform.RunnerTable, "", "i-1")
 		time.Sleep(600 * time.Millisecond)
--- a/entry/limited_test.go
+++ b/entry/limited_test.go
@@ -17,22 +17,23 @@
 
 // What an endpoint that has announced a limit may get within a window, as the platform counts.
 const (
-	namedWindow = 4 * time.Second
-	namedTimes  = 1.5
-	namedSlack  = 5
-	// namedAfter is the time that daemons may take to learn of a limit.
-	namedAfter = 3 * time.Second
-	// namedUse is the minimum fraction of its limit that an endpoint gets while demand exceeds the limit.
-	namedUse = 0.7
+	announcedWindow = 4 * time.Second
+	announcedFactor = 1.5
+	announcedSlack  = 5
+	// announcedDelay is the time that daemons may take to learn of a limit.
+	announcedDelay = 3 * time.Second
+	// announcedMinUse is the minimum fraction of its limit that an endpoint gets while demand exceeds the
+	// limit.
+	announcedMinUse = 0.7
 )
 
-// namedMost returns the maximum number of requests that an endpoint may get within a window.
-func namedMost(perSecond float64) int {
-	return int(namedTimes*perSecond*namedWindow.Seconds() + namedSlack)
+// maxAnnounced returns the maximum number of requests that an endpoint may get within a window.
+func maxAnnounced(perSecond float64) int {
+	return int(announcedFactor*perSecond*announcedWindow.Seconds() + announcedSlack)
 }
 
-// mostWithin returns the maximum number of moments, not before from, that lie within a span.
-func mostWithin(at []time.Time, from time.Time, span time.Duration) (most int) {
+// maxWithin returns the maximum number of moments, not before from, that lie within a span.
+func maxWithin(at []time.Time, from time.Time, span time.Duration) (most int) {
 	first := 0
 	for i, t := range at {
 		for at[first].Before(from) && first < i || t.Sub(at[first]) > span {
@@ -69,7 +70,7 @@
 	var out []answer
 	began := time.Now()
 	for n := 0; time.Since(began) < span; n++ {
-		at := n + int(time.Since(w.born).Milliseconds())*1000 // unique for each request
+		at := n + int(time.Since(w.created).Milliseconds())*1000 // unique for each request
 		wg.Go(func() {
 			a := ask(daemons[n%len(daemons)], at)
 			mu.Lock()
@@ -89,10 +90,10 @@
 	return out
 }
 
-// An endpoint announces in its answers how many requests a second it takes from all daemons together. Together
-// they must not exceed that. When no daemon read the announcement, and each selected endpoints by load and
-// prefill time alone, an endpoint with a limit of 1.6 a second got 2 to 8 a second from nine daemons, none of
-// which sent more than 3 a second.
+// An endpoint announces in its answers how many requests a second it takes from all daemons together.
+// Together they must not exceed that. When no daemon read the announcement, and each selected endpoints by
+// load and prefill time alone, an endpoint with a limit of 1.6 a second got 2 to 8 a second from nine
+// daemons, none of which sent more than 3 a second.
 func TestAnnouncedLimitIsRespectedAndUsed(t *testing.T) {
 	for _, c := range []struct {
 		daemons int
@@ -112,10 +113,10 @@
 				for i, a := range w.demand(upTo(c.daemons), 60, 14*time.Second, w.askStream) {
 					require.Equal(t, http.StatusOK, a.status, "request %d: other endpoints serve it", i)
 				}
-				told := began.Add(namedAfter)
-				assert.LessOrEqual(t, mostWithin(limited.Came(), told, namedWindow), namedMost(c.rate))
-				used := float64(countFrom(limited.Came(), told)) / time.Since(told).Seconds()
-				assert.GreaterOrEqual(t, used, namedUse*c.rate, "its limit is used")
+				known := began.Add(announcedDelay)
+				assert.LessOrEqual(t, maxWithin(limited.Came(), known, announcedWindow), maxAnnounced(c.rate))
+				used := float64(countFrom(limited.Came(), known)) / time.Since(known).Seconds()
+				assert.GreaterOrEqual(t, used, announcedMinUse*c.rate, "its limit is used")
 
 				limited.SetFault(standin.RunnerFault{})
 				w.demand(upTo(c.daemons), 60, 2*time.Second, w.askStream)
@@ -127,8 +128,8 @@
 	}
 }
 
-// waitOf returns the Retry-After of a refused request, 0 if there is none.
-func (a answer) waitOf(t *testing.T) time.Duration {
+// retryAfter returns the Retry-After of a refused request, 0 if there is none.
+func (a answer) retryAfter(t *testing.T) time.Duration {
 	s, err := time.ParseDuration(a.header.Get("Retry-After") + "s")
 	if err != nil {
 		return 0
@@ -136,8 +137,8 @@
 	return s
 }
 
-// atOnce is the maximum duration of a refusal that needs no new information.
-const atOnce = 100 * time.Millisecond
+// maxRefusalTime is the maximum duration of a refusal that needs no new information.
+const maxRefusalTime = 100 * time.Millisecond
 
 func TestRetryAfterWhenAllEndpointsAreAtTheirLimits(t *testing.T) {
 	inZones(t, 3, []string{"a", "b", "c"}, func(w *world) {
@@ -148,7 +149,7 @@
 		w.demand(upTo(3), 20, 4*time.Second, w.askStream) // until all daemons know the limits
 		time.Sleep(2 * time.Second)
 		var mu sync.Mutex
-		refused, back := 0, 0
+		refused, served := 0, 0
 		w.demand(upTo(3), 20, time.Second, func(daemon, n int) answer {
 			began := time.Now()
 			a := w.askStream(daemon, n)
@@ -156,8 +157,8 @@
 				return a
 			}
 			assert.Equal(t, http.StatusServiceUnavailable, a.status)
-			assert.Less(t, time.Since(began), atOnce, "refused without delay")
-			wait := a.waitOf(t)
+			assert.Less(t, time.Since(began), maxRefusalTime, "refused without delay")
+			wait := a.retryAfter(t)
 			assert.Positive(t, wait)
 			time.Sleep(wait)
 			a = w.askStream((daemon+1)%3, n)
@@ -165,16 +166,16 @@
 			defer mu.Unlock()
 			refused++
 			if a.status == http.StatusOK {
-				back++
+				served++
 			}
 			return a
 		})
-		t.Logf("%d of 20 refused, %d of them served on their retry", refused, back)
+		t.Logf("%d of 20 refused, %d of them served on their retry", refused, served)
 		for _, r := range w.runners {
-			assert.LessOrEqual(t, mostWithin(r.Came(), w.born.Add(9*time.Second), namedWindow), namedMost(2))
+			assert.LessOrEqual(t, maxWithin(r.Came(), w.created.Add(9*time.Second), announcedWindow), maxAnnounced(2))
 		}
 		assert.Positive(t, refused)
-		assert.GreaterOrEqual(t, float64(back), 0.7*float64(refused), "Retry-After is accurate")
+		assert.GreaterOrEqual(t, float64(served), 0.7*float64(refused), "Retry-After is accurate")
 	})
 }
 
--- a/entry/limitedfaults_test.go
+++ b/entry/limitedfaults_test.go
@@ -18,9 +18,9 @@
 // Faults while an endpoint limits itself: the daemon that grants its requests dies, is cut off or does not
 // answer, all daemons restart, the endpoint's entry expires, or the endpoint restarts under its id.
 
-const limitedTo = 2.0
+const announcedLimit = 2.0
 
-// inLimited runs f among daemons that know that the first of four engines takes limitedTo requests a
+// inLimited runs f among daemons that know that the first of four engines takes announcedLimit requests a
 // second.
 func inLimited(t *testing.T, daemons int, f func(w *world, limited *standin.Runner)) {
 	t.Helper()
@@ -29,48 +29,48 @@
 		for i := 1; i < 4; i++ {
 			w.runner(engines, "b", fmt.Sprint("i-", i), 2)
 		}
-		limited.SetFault(standin.RunnerFault{Limit: fmt.Sprint(limitedTo)})
+		limited.SetFault(standin.RunnerFault{Limit: fmt.Sprint(announcedLimit)})
 		time.Sleep(2 * time.Second)
 		w.demand(upTo(daemons), 60, 4*time.Second, w.askStream)
 		f(w, limited)
 	})
 }
 
-// keptSince checks the rate of requests that the endpoint got from a moment on. While two daemons grant at
-// the same time it may get twice its limit.
-func keptSince(t *testing.T, limited *standin.Runner, from time.Time, use float64) {
+// checkLimitSince checks the rate of requests that the endpoint got from a moment on. While two daemons
+// grant at the same time it may get twice its limit.
+func checkLimitSince(t *testing.T, limited *standin.Runner, from time.Time, use float64) {
 	t.Helper()
-	assert.LessOrEqual(t, mostWithin(limited.Came(), from, namedWindow), namedMost(limitedTo))
+	assert.LessOrEqual(t, maxWithin(limited.Came(), from, announcedWindow), maxAnnounced(announcedLimit))
 	got := float64(countFrom(limited.Came(), from)) / time.Since(from).Seconds()
-	assert.GreaterOrEqual(t, got, use*limitedTo, "the limit is used")
+	assert.GreaterOrEqual(t, got, use*announcedLimit, "the limit is used")
 }
 
 func TestALimitIsKeptWhicheverDaemonIsGone(t *testing.T) {
 	for _, daemons := range []int{3, 16} {
-		for gone := range min(daemons, 6) {
+		for lost := range min(daemons, 6) {
 			inLimited(t, daemons, func(w *world, limited *standin.Runner) {
-				w.cut[gone]()
-				w.daemons[gone].Kill()
+				w.cancels[lost]()
+				w.daemons[lost].Kill()
 				from := time.Now()
-				left := slices.DeleteFunc(upTo(daemons), func(i int) bool { return i == gone })
+				left := slices.DeleteFunc(upTo(daemons), func(i int) bool { return i == lost })
 				for i, a := range w.demand(left, 60, 8*time.Second, w.askStream) {
 					assert.Equal(t, http.StatusOK, a.status, "request %d: %s %v", i, a.body, a.err)
 				}
-				keptSince(t, limited, from, 0.5)
+				checkLimitSince(t, limited, from, 0.5)
 			})
 		}
 	}
 }
 
-// cutOffInTurn cuts each of several daemons off from the other daemons alone, for 6 s, under load.
-func cutOffInTurn(t *testing.T, check func(w *world, limited *standin.Runner, from time.Time, answers []answer)) {
+// isolateEach cuts each of several daemons off from the other daemons alone, for 6 s, under load.
+func isolateEach(t *testing.T, check func(w *world, limited *standin.Runner, from time.Time, answers []answer)) {
 	for _, daemons := range []int{3, 16} {
-		for gone := range min(daemons, 4) {
+		for lost := range min(daemons, 4) {
 			inLimited(t, daemons, func(w *world, limited *standin.Runner) {
-				w.apart.Store(&w.daemons[gone].Self.Name)
+				w.isolated.Store(&w.daemons[lost].Self.Name)
 				from := time.Now()
 				answers := w.demand(upTo(daemons), 60, 6*time.Second, w.askStream)
-				w.apart.Store(nil)
+				w.isolated.Store(nil)
 				check(w, limited, from, append(answers, w.demand(upTo(daemons), 60, 6*time.Second, w.askStream)...))
 			})
 		}
@@ -78,13 +78,13 @@
 }
 
 func TestALimitIsKeptWhicheverDaemonIsCutOff(t *testing.T) {
-	cutOffInTurn(t, func(_ *world, limited *standin.Runner, from time.Time, _ []answer) {
-		keptSince(t, limited, from, 0.5)
+	isolateEach(t, func(_ *world, limited *standin.Runner, from time.Time, _ []answer) {
+		checkLimitSince(t, limited, from, 0.5)
 	})
 }
 
 func TestCallersAreServedWhicheverDaemonIsCutOff(t *testing.T) {
-	cutOffInTurn(t, func(_ *world, _ *standin.Runner, _ time.Time, answers []answer) {
+	isolateEach(t, func(_ *world, _ *standin.Runner, _ time.Time, answers []answer) {
 		for i, a := range answers {
 			assert.Equal(t, http.StatusOK, a.status, "request %d: %s %v", i, a.body, a.err)
 		}
@@ -95,7 +95,7 @@
 	for _, daemons := range []int{3, 16} {
 		inLimited(t, daemons, func(w *world, limited *standin.Runner) {
 			for i, d := range w.daemons {
-				w.cut[i]()
+				w.cancels[i]()
 				d.Kill()
 			}
 			for i, d := range w.daemons {
@@ -104,7 +104,7 @@
 			time.Sleep(2 * time.Second)
 			began := time.Now()
 			w.demand(upTo(daemons), 60, 10*time.Second, w.askStream)
-			keptSince(t, limited, began.Add(namedAfter), 0.7)
+			checkLimitSince(t, limited, began.Add(announcedDelay), 0.7)
 		})
 	}
 }
@@ -121,8 +121,8 @@
 		time.Sleep(500 * time.Millisecond)
 		back := time.Now()
 		w.demand(upTo(3), 60, 4*time.Second, w.askStream)
-		assert.LessOrEqual(t, mostWithin(limited.Came(), from, namedWindow), namedMost(limitedTo))
-		assert.LessOrEqual(t, countFrom(limited.Came(), back), int(limitedTo*4)+4, "its limit is still known")
+		assert.LessOrEqual(t, maxWithin(limited.Came(), from, announcedWindow), maxAnnounced(announcedLimit))
+		assert.LessOrEqual(t, countFrom(limited.Came(), back), int(announcedLimit*4)+4, "its limit is still known")
 	})
 }
 
@@ -141,7 +141,7 @@
 		inLimited(t, daemons, func(w *world, limited *standin.Runner) {
 			from := time.Now()
 			w.demand([]int{0}, 60, 12*time.Second, w.askStream) // the endpoint is in its zone and preferred
-			keptSince(t, limited, from, namedUse)
+			checkLimitSince(t, limited, from, announcedMinUse)
 		})
 	}
 }
--- a/entry/many_test.go
+++ b/entry/many_test.go
@@ -69,18 +69,18 @@
 				"Streambend-Token-Counts", "100,10", "Streambend-Prompt-Prefix", fmt.Sprintf("%x:50,%x:50", 7919*i+1, 104729*i+1))
 		}
 		time.Sleep(800 * time.Millisecond)
-		early := w.spots()
+		early := w.reclaimableOrders()
 		assert.LessOrEqual(t, early["a"]+early["b"], 4, "a burst at all daemons may be short")
 		time.Sleep(3800 * time.Millisecond)
 		// 16 requests, of which the estimate has reached nearly nine tenths by now, on engines with 8 slots
 		// at a target utilization of 0.7, times 0.55 over 0.25 for what can be reclaimed: 5.3 to 5.6.
-		late := w.spots()
+		late := w.reclaimableOrders()
 		assert.InDelta(t, 5.5, late["a"]+late["b"], 0.6)
 	})
 }
 
-// spots returns the number of reclaimable endpoints last ordered in each zone.
-func (w *world) spots() map[string]int {
+// reclaimableOrders returns the number of reclaimable endpoints last ordered in each zone.
+func (w *world) reclaimableOrders() map[string]int {
 	out := make(map[string]int)
 	for _, c := range w.api.Calls("/scale") {
 		if o := c.Order(); o.Spot {
@@ -160,7 +160,7 @@
 		time.Sleep(12 * time.Second)
 		for _, d := range w.daemons {
 			if r, _ := entry.Reader("a", readers[2].Hub.Mesh.Members()); r.Name == d.Self.Name {
-				assert.Equal(t, 1, w.begunAt(readers[2], d.Self.Name, name))
+				assert.Equal(t, 1, w.begunCount(readers[2], d.Self.Name, name))
 			}
 		}
 	})
@@ -178,15 +178,15 @@
 		old := conn.Tally{Daemon: "old", Start: 1, Seq: 1, Windows: map[int64]map[string]int{7: {team: 3}}}
 		b, err := readers[1].Hub.Ask(w.t.Context(), readers[0].Self.Name, "tallies", conn.Marshal([]conn.Tally{old}))
 		require.NoError(t, err)
-		var told []conn.Tally
-		require.NoError(t, conn.Unmarshal(b, &told))
-		assert.True(t, slices.ContainsFunc(told, func(x conn.Tally) bool { return x.Daemon == w.daemons[0].Self.Name && x.Admit[team] > 0 }))
-		assert.Equal(t, 3, w.begunAt(readers[1], readers[0].Self.Name, "old"))
+		var answer []conn.Tally
+		require.NoError(t, conn.Unmarshal(b, &answer))
+		assert.True(t, slices.ContainsFunc(answer, func(x conn.Tally) bool { return x.Daemon == w.daemons[0].Self.Name && x.Admit[team] > 0 }))
+		assert.Equal(t, 3, w.begunCount(readers[1], readers[0].Self.Name, "old"))
 	})
 }
 
-// begunAt returns how many requests begun by a daemon another one knows of, as it reports to a third.
-func (w *world) begunAt(asker *entry.Daemon, asked, daemon string) (sum int) {
+// begunCount returns how many requests begun by a daemon another one knows of, as it reports to a third.
+func (w *world) begunCount(asker *entry.Daemon, asked, daemon string) (sum int) {
 	ctx, cancel := context.WithTimeout(w.t.Context(), time.Second)
 	defer cancel()
 	b, err := asker.Hub.Ask(ctx, asked, "counts", conn.Marshal(struct{}{}))
@@ -209,12 +209,12 @@
 // limit.
 func TestANewReaderRefusesNobodyBelowALimit(t *testing.T) {
 	inWorldOf(t, 18, func(w *world) {
-		w.first = true
+		w.bootstrap = true
 		w.zones = []string{"a", "b", "c"}
 		w.rate = 4000 // 20 plain requests a second
 	}, func(w *world) {
 		w.runner(plain, "a", "i-1", 0)
-		w.first = false
+		w.bootstrap = false
 		readers := w.readers()
 		for i, d := range w.daemons {
 			if !slices.Contains(readers, d) && d.Self.Zone != "a" {
--- a/entry/network_test.go
+++ b/entry/network_test.go
@@ -13,22 +13,22 @@
 	"streambend.example/seam"
 )
 
-// named is the network as a daemon sees it. It adds the daemon's name to each call to the store.
-type named struct {
+// daemonNetwork is the network as a daemon sees it. It adds the daemon's name to each call to the store.
+type daemonNetwork struct {
 	seam.Network
 	ctx  context.Context
 	name string
 	w    *world
 }
 
-// hello is a connection that adds the daemon's name to the headers of each request.
-type hello struct {
+// taggedConn is a connection that adds the daemon's name to the headers of each request.
+type taggedConn struct {
 	net.Conn
 	name string
 }
 
 // Write implements net.Conn.
-func (c hello) Write(b []byte) (int, error) {
+func (c taggedConn) Write(b []byte) (int, error) {
 	line, rest, ok := strings.Cut(string(b), "\r\n")
 	if !ok || !strings.HasSuffix(line, "HTTP/1.1") {
 		return c.Conn.Write(b)
@@ -45,54 +45,54 @@
 // peerLink is a link between daemons that fails while one of them is cut off.
 type peerLink struct {
 	net.Conn
-	cut func() bool
+	isIsolated func() bool
 }
 
-var errApart = errors.New("cut off from the other daemons")
+var errIsolated = errors.New("cut off from the other daemons")
 
 // Read implements net.Conn.
 func (c peerLink) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
-	if c.cut() {
+	if c.isIsolated() {
 		c.Close()
-		return 0, errApart
+		return 0, errIsolated
 	}
 	return n, err
 }
 
 // Write implements net.Conn.
 func (c peerLink) Write(b []byte) (int, error) {
-	if c.cut() {
+	if c.isIsolated() {
 		c.Close()
-		return 0, errApart
+		return 0, errIsolated
 	}
 	return c.Conn.Write(b)
 }
 
 // dialPeer opens a link to another daemon.
-func (n named) dialPeer(ctx context.Context, network, address string) (net.Conn, error) {
-	cut := func() bool {
-		apart := n.w.apart.Load()
-		if apart == nil {
+func (n daemonNetwork) dialPeer(ctx context.Context, network, address string) (net.Conn, error) {
+	isIsolated := func() bool {
+		isolated := n.w.isolated.Load()
+		if isolated == nil {
 			return false
 		}
-		host, _ := strings.CutPrefix(*apart, "daemon-")
-		return n.name == *apart || address == "10.0.0."+host+linkPort
+		host, _ := strings.CutPrefix(*isolated, "daemon-")
+		return n.name == *isolated || address == "10.0.0."+host+linkPort
 	}
-	if cut() {
-		return nil, errApart
+	if isIsolated() {
+		return nil, errIsolated
 	}
 	c, err := n.Network.Dial(ctx, network, address)
-	return peerLink{c, cut}, err
+	return peerLink{c, isIsolated}, err
 }
 
 // Dial implements seam.Network. It fails once the daemon's context has ended.
-func (n named) Dial(ctx context.Context, network, address string) (net.Conn, error) {
+func (n daemonNetwork) Dial(ctx context.Context, network, address string) (net.Conn, error) {
 	if n.ctx.Err() != nil {
 		return nil, n.ctx.Err()
 	}
 	if strings.HasPrefix(address, runnerHost) {
-		time.Sleep(time.Duration(n.w.connect.Load()))
+		time.Sleep(time.Duration(n.w.connectDelay.Load()))
 	}
 	if strings.HasSuffix(address, linkPort) {
 		return n.dialPeer(ctx, network, address)
@@ -101,5 +101,5 @@
 	if err != nil || address != storeAddress {
 		return c, err
 	}
-	return hello{c, n.name}, nil
+	return taggedConn{c, n.name}, nil
 }
--- a/entry/outage_test.go
+++ b/entry/outage_test.go
@@ -70,21 +70,21 @@
 }
 
 func TestReaderSelectorFailover(t *testing.T) {
-	var turn entry.ReaderSelector
-	assert.Equal(t, 0, turn.Next(3))
-	assert.True(t, turn.Record(0, entry.ReaderFailing))
-	assert.False(t, turn.Record(0, entry.ReaderFailing))
-	assert.Equal(t, 1, turn.Failed(), "a repeated failure of one reader counts once")
-	assert.Equal(t, 1, turn.Next(3))
+	var selector entry.ReaderSelector
+	assert.Equal(t, 0, selector.Next(3))
+	assert.True(t, selector.Record(0, entry.ReaderFailing))
+	assert.False(t, selector.Record(0, entry.ReaderFailing))
+	assert.Equal(t, 1, selector.Failed(), "a repeated failure of one reader counts once")
+	assert.Equal(t, 1, selector.Next(3))
 	for range 9 {
-		assert.False(t, turn.Record(1, entry.ReaderOK))
+		assert.False(t, selector.Record(1, entry.ReaderOK))
 	}
-	assert.Equal(t, 1, turn.Next(3), "it answers")
-	assert.True(t, turn.Record(1, entry.ReaderOK))
-	assert.Equal(t, 0, turn.Next(3), "the zone's own reader is tried again")
-	assert.Zero(t, turn.Failed())
-	turn.Record(0, entry.ReaderFailing)
-	assert.Equal(t, 0, turn.Next(1), "the other readers are gone")
+	assert.Equal(t, 1, selector.Next(3), "it answers")
+	assert.True(t, selector.Record(1, entry.ReaderOK))
+	assert.Equal(t, 0, selector.Next(3), "the zone's own reader is tried again")
+	assert.Zero(t, selector.Failed())
+	selector.Record(0, entry.ReaderFailing)
+	assert.Equal(t, 0, selector.Next(1), "the other readers are gone")
 }
 
 // Readers that are dead or cut off must not make the others confirm an outage: what was removed from the
@@ -180,30 +180,30 @@
 	now := time.Now()
 	old, young := now.Add(-3*time.Second), now.Add(-time.Second)
 	var o entry.Outage
-	hear := func(name string, r entry.ReaderStatus, after time.Duration, catalog, listed time.Time) {
+	record := func(name string, r entry.ReaderStatus, after time.Duration, catalog, listed time.Time) {
 		o.Record(name, entry.PeerReport{Reader: r, Asked: now.Add(after), Catalog: catalog, Listed: listed})
 	}
-	certain := func(of entry.ReportTime) bool { return o.Confirmed(now, 2, of, bound) }
-	assert.False(t, certain(entry.ListTime), "no report yet")
-	hear("a", entry.ReaderFailing, 0, old, old)
-	assert.False(t, certain(entry.ListTime), "one report is missing")
-	hear("b", entry.ReaderOK, 0, old, young)
-	assert.True(t, certain(entry.CatalogTime), "its catalog is as old")
-	assert.False(t, certain(entry.ListTime), "the store serves one")
-	hear("b", entry.ReaderSilent, time.Millisecond, time.Time{}, time.Time{})
-	assert.False(t, certain(entry.ListTime), "no answer does not make its data older")
-	hear("b", entry.ReaderFailing, 2*time.Millisecond, old, young)
-	assert.False(t, certain(entry.ListTime), "it has younger data from others")
-	hear("b", entry.ReaderFailing, 3*time.Millisecond, old, old)
-	assert.True(t, certain(entry.ListTime))
-	hear("b", entry.ReaderOK, 0, young, young)
-	assert.True(t, certain(entry.ListTime), "an answer to an older query")
-	hear("c", entry.ReaderOK, 0, young, young)
-	assert.False(t, certain(entry.ListTime), "a daemon with younger data disproves it")
-	hear("c", entry.ReaderOK, time.Millisecond, old, old)
-	hear("a", entry.ReaderSilent, 4*time.Millisecond, time.Time{}, time.Time{})
-	hear("b", entry.ReaderSilent, 4*time.Millisecond, time.Time{}, time.Time{})
-	assert.False(t, certain(entry.ListTime), "missing answers may be a fault of this daemon's own link")
-	hear("a", entry.ReaderFailing, 5*time.Millisecond, old, old)
+	confirmed := func(of entry.ReportTime) bool { return o.Confirmed(now, 2, of, bound) }
+	assert.False(t, confirmed(entry.ListTime), "no report yet")
+	record("a", entry.ReaderFailing, 0, old, old)
+	assert.False(t, confirmed(entry.ListTime), "one report is missing")
+	record("b", entry.ReaderOK, 0, old, young)
+	assert.True(t, confirmed(entry.CatalogTime), "its catalog is as old")
+	assert.False(t, confirmed(entry.ListTime), "the store serves one")
+	record("b", entry.ReaderSilent, time.Millisecond, time.Time{}, time.Time{})
+	assert.False(t, confirmed(entry.ListTime), "no answer does not make its data older")
+	record("b", entry.ReaderFailing, 2*time.Millisecond, old, young)
+	assert.False(t, confirmed(entry.ListTime), "it has younger data from others")
+	record("b", entry.ReaderFailing, 3*time.Millisecond, old, old)
+	assert.True(t, confirmed(entry.ListTime))
+	record("b", entry.ReaderOK, 0, young, young)
+	assert.True(t, confirmed(entry.ListTime), "an answer to an older query")
+	record("c", entry.ReaderOK, 0, young, young)
+	assert.False(t, confirmed(entry.ListTime), "a daemon with younger data disproves it")
+	record("c", entry.ReaderOK, time.Millisecond, old, old)
+	record("a", entry.ReaderSilent, 4*time.Millisecond, time.Time{}, time.Time{})
+	record("b", entry.ReaderSilent, 4*time.Millisecond, time.Time{}, time.Time{})
+	assert.False(t, confirmed(entry.ListTime), "missing answers may be a fault of this daemon's own link")
+	record("a", entry.ReaderFailing, 5*time.Millisecond, old, old)
 	assert.False(t, o.Confirmed(now.Add(bound), 2, entry.ListTime, bound), "reports expire after 1.35 s")
 }
--- a/entry/overlimit_test.go
+++ b/entry/overlimit_test.go
@@ -13,20 +13,20 @@
 	"streambend.example/version"
 )
 
-// told is an admission by one daemon, on its way to another.
-type told struct {
+// admission is what one daemon has admitted, in transit to another.
+type admission struct {
 	at    time.Time
 	units float64
 }
 
-// overLimit has a team send at a multiple of its limit to many daemons that learn of each other's
+// simulateOverload has a team send at a multiple of its limit to many daemons that learn of each other's
 // admissions late, and returns the units admitted in each half second.
-func overLimit(seed uint64, times float64, span time.Duration) (halves []float64, team version.Tenant) {
+func simulateOverload(seed uint64, times float64, span time.Duration) (halves []float64, team version.Tenant) {
 	const daemons, step = 60, 5 * time.Millisecond
 	rng := rand.New(rand.NewPCG(seed, 3))
 	team = version.Tenant{Name: "team", Rate: 800e3, Burst: 800e3, Tokens: true}
 	quotas := make([]*entry.Quotas, daemons)
-	news := make([][]told, daemons)
+	inTransit := make([][]admission, daemons)
 	for i := range quotas {
 		quotas[i] = entry.NewQuotas(true)
 	}
@@ -34,9 +34,9 @@
 	owed := 0.0
 	for now := start; now.Sub(start) < span; now = now.Add(step) {
 		for i, q := range quotas {
-			for len(news[i]) > 0 && !news[i][0].at.After(now) {
-				q.ChargeRemote(now, &team, news[i][0].units, 1)
-				news[i] = news[i][1:]
+			for len(inTransit[i]) > 0 && !inTransit[i][0].at.After(now) {
+				q.ChargeRemote(now, &team, inTransit[i][0].units, 1)
+				inTransit[i] = inTransit[i][1:]
 			}
 		}
 		for owed += times * team.Rate * step.Seconds(); owed > 0; {
@@ -47,10 +47,10 @@
 				continue
 			}
 			halves[int(now.Sub(start)/(500*time.Millisecond))] += units
-			for i := range news {
+			for i := range inTransit {
 				if i != from {
 					// Forwarded by two readers; here the reports of one daemon stay in order.
-					news[i] = append(news[i], told{now.Add(800 * time.Millisecond), units})
+					inTransit[i] = append(inTransit[i], admission{now.Add(800 * time.Millisecond), units})
 				}
 			}
 		}
@@ -67,7 +67,7 @@
 func TestATeamOverItsLimitGetsAllOfIt(t *testing.T) {
 	for seed := range uint64(3) {
 		for _, times := range []float64{1.5, 3, 6} {
-			halves, team := overLimit(seed, times, 20*time.Second)
+			halves, team := simulateOverload(seed, times, 20*time.Second)
 			all := 0.0
 			for _, x := range halves {
 				all += x
--- a/entry/readertraffic_test.go
+++ b/entry/readertraffic_test.go
@@ -47,9 +47,9 @@
 // Two readers without a link to each other receive the tallies of each other's zones from the third.
 func TestUnconnectedReadersKeepALimit(t *testing.T) {
 	inWorldOf(t, 15, func(w *world) {
-		linked(w)
+		withLinks(w)
 		w.zones = []string{"a", "b", "c"}
-		w.strong = 3
+		w.strongBoxes = 3
 	}, func(w *world) {
 		w.runner(plain, "a", "i-1", 0)
 		a, b := w.daemons[0].Self, w.daemons[1].Self // the readers of two zones
--- a/entry/reload_test.go
+++ b/entry/reload_test.go
@@ -20,34 +20,34 @@
 // own share: a quarter of all requests was refused as over the limit, with a Retry-After of minutes.
 func TestAReloadKeepsLimits(t *testing.T) {
 	inWorldOf(t, 24, func(w *world) {
-		w.first = true
-		w.store.SetFault(standin.RowsFault{Late: hurried})
+		w.bootstrap = true
+		w.store.SetFault(standin.RowsFault{Late: slowStoreAnswers})
 	}, func(w *world) {
 		w.store.SetFault(standin.RowsFault{})
 		w.runner(plain, "a", "i-1", 0)
 		w.rate = 8000 // 40 plain requests a second
 		w.put()
 		time.Sleep(2 * time.Second)
-		w.first = false
+		w.bootstrap = false
 		for i, d := range w.daemons {
 			d.Reload(w.site(d.Self.Name, i))
 		}
-		w.within(120)
+		w.checkServedBelowLimit(120)
 	})
 }
 
-// hurried holds daemons to which the store answers late while many daemons query it, so that by then the
-// others have read their rows and have links to them.
-var hurried = map[string]time.Duration{"daemon-3": time.Second, "daemon-4": time.Second, "daemon-5": time.Second}
+// slowStoreAnswers holds daemons to which the store answers late while many daemons query it, so that by
+// then the others have read their rows and have links to them.
+var slowStoreAnswers = map[string]time.Duration{"daemon-3": time.Second, "daemon-4": time.Second, "daemon-5": time.Second}
 
 // The same for daemons that restart beside others, and have links before the store answers them.
 func TestARestartedDaemonUsesWholeLimits(t *testing.T) {
-	inWorldOf(t, 24, func(w *world) { w.first = true }, func(w *world) {
+	inWorldOf(t, 24, func(w *world) { w.bootstrap = true }, func(w *world) {
 		w.runner(plain, "a", "i-1", 0)
 		w.rate = 8000
 		w.put()
-		w.first = false
-		w.store.SetFault(standin.RowsFault{Late: hurried})
+		w.bootstrap = false
+		w.store.SetFault(standin.RowsFault{Late: slowStoreAnswers})
 		for i, d := range w.daemons[:12] {
 			d.Kill()
 			w.daemons[i] = w.startNamed(d.Self.Name, i)
@@ -55,12 +55,13 @@
 		}
 		w.store.SetFault(standin.RowsFault{})
 		time.Sleep(4 * time.Second)
-		w.within(120)
+		w.checkServedBelowLimit(120)
 	})
 }
 
-// within sends requests at half of the team's limit to all daemons in turn, and checks that all are served.
-func (w *world) within(requests int) {
+// checkServedBelowLimit sends requests at half of the team's limit to all daemons in turn, and checks that
+// all are served.
+func (w *world) checkServedBelowLimit(requests int) {
 	for n := range requests {
 		a := w.ask(n%len(w.daemons), http.MethodPost, "/write/", fmt.Sprint("id-", n))
 		assert.Equal(w.t, http.StatusOK, a.status, "daemon %d: %s", n%len(w.daemons), a.body)
--- a/entry/rest_test.go
+++ b/entry/rest_test.go
@@ -17,21 +17,21 @@
 )
 
 const (
-	// restAfter is the time after its answer from which on an endpoint's pause must be respected.
-	restAfter = 500 * time.Millisecond
-	// restMost is the maximum number of requests of one daemon that may reach it during the pause.
-	restMost = 2
+	// pauseGrace is the time after its answer from which on an endpoint's pause must be respected.
+	pauseGrace = 500 * time.Millisecond
+	// maxDuringPause is the maximum number of requests of one daemon that may reach it during the pause.
+	maxDuringPause = 2
 )
 
-// askOf is askStream with a request id that names the daemon.
-func (w *world) askOf(daemon, n int) answer {
+// askStreamTagged is askStream with a request id that names the daemon.
+func (w *world) askStreamTagged(daemon, n int) answer {
 	return w.ask(daemon, http.MethodPost, "/explain/", fmt.Sprint(daemon, "-", n),
 		"Streambend-Token-Counts", "110,10", "Streambend-Prompt-Prefix", fmt.Sprintf("%x:50,%x:60", 7919, 104729*n+1))
 }
 
-// mostInRest returns the maximum number of requests of one daemon that reached a runner during a pause that
-// the runner had requested from that daemon in each of its answers between two moments.
-func mostInRest(r *standin.Runner, from, until time.Time, rest time.Duration) (most int) {
+// maxRequestsInPause returns the maximum number of requests of one daemon that reached a runner during a
+// pause that the runner had requested from that daemon in each of its answers between two moments.
+func maxRequestsInPause(r *standin.Runner, from, until time.Time, rest time.Duration) (most int) {
 	by := make(map[string][]time.Time)
 	for _, a := range r.Arrivals() {
 		daemon, _, _ := strings.Cut(a.ID, "-")
@@ -44,7 +44,7 @@
 			}
 			n := 0
 			for _, later := range at[i+1:] {
-				if d := later.Sub(asked); d > restAfter && d < rest {
+				if d := later.Sub(asked); d > pauseGrace && d < rest {
 					n++
 				}
 			}
@@ -55,30 +55,32 @@
 }
 
 // An endpoint that refuses requests with 503 and a Retry-After must get no more of them for that time. When
-// the answer counted as that of a full endpoint, which does not affect the next selection, and Retry-After was
-// not read, requests were refused although other engines had room: one went to the same two engines three times
-// in 50 ms, and an engine that asked for 3 s got 5 to 14 requests from one daemon in that time, of 2 allowed.
+// the answer counted as that of a full endpoint, which does not affect the next selection, and Retry-After
+// was not read, requests were refused although other engines had room: one went to the same two engines
+// three times in 50 ms, and an engine that asked for 3 s got 5 to 14 requests from one daemon in that time,
+// of 2 allowed.
 func TestRetryAfterOfAnEndpointIsRespected(t *testing.T) {
 	const rest = 3 * time.Second
 	for _, daemons := range []int{3, 60} {
 		inZones(t, daemons, []string{"a", "b", "c"}, func(w *world) {
-			tired := w.runner(engines, "a", "i-0", 2)
+			paused := w.runner(engines, "a", "i-0", 2)
 			for i := 1; i < 4; i++ {
 				w.runner(engines, "a", fmt.Sprint("i-", i), 2)
 			}
 			time.Sleep(2 * time.Second)
-			w.demand(upTo(daemons), 60, 5*time.Second, w.askOf) // until the retry budget of each of 60 daemons allows a retry
-			tired.SetFault(standin.RunnerFault{NotRun: true, Rest: "3"})
+			// Until the retry budget of each of 60 daemons allows a retry.
+			w.demand(upTo(daemons), 60, 5*time.Second, w.askStreamTagged)
+			paused.SetFault(standin.RunnerFault{NotRun: true, Rest: "3"})
 			began := time.Now()
-			for i, a := range w.demand(upTo(daemons), 60, 7*time.Second, w.askOf) {
+			for i, a := range w.demand(upTo(daemons), 60, 7*time.Second, w.askStreamTagged) {
 				assert.Equal(t, http.StatusOK, a.status, "%d daemons, request %d: other endpoints serve it", daemons, i)
 			}
 			ended := time.Now()
-			assert.LessOrEqual(t, mostInRest(tired, began, ended, rest), restMost, "%d daemons", daemons)
-			tired.SetFault(standin.RunnerFault{})
+			assert.LessOrEqual(t, maxRequestsInPause(paused, began, ended, rest), maxDuringPause, "%d daemons", daemons)
+			paused.SetFault(standin.RunnerFault{})
 			time.Sleep(rest)
-			w.demand(upTo(daemons), 60, 2*time.Second, w.askOf)
-			assert.GreaterOrEqual(t, countFrom(tired.Came(), ended.Add(rest)), 15, "%d daemons: used again, of 120 requests on four endpoints", daemons)
+			w.demand(upTo(daemons), 60, 2*time.Second, w.askStreamTagged)
+			assert.GreaterOrEqual(t, countFrom(paused.Came(), ended.Add(rest)), 15, "%d daemons: used again, of 120 requests on four endpoints", daemons)
 		})
 	}
 }
@@ -87,7 +89,7 @@
 func TestRetryAfterWhenAllEndpointsPause(t *testing.T) {
 	for _, service := range []string{engines, plain} {
 		inZones(t, 3, []string{"a", "b", "c"}, func(w *world) {
-			ask := w.askOf
+			ask := w.askStreamTagged
 			if service == plain {
 				ask = func(daemon, n int) answer {
 					return w.ask(daemon, http.MethodPost, "/write/", fmt.Sprint(daemon, "-", n))
@@ -111,13 +113,13 @@
 					return a
 				}
 				assert.Equal(t, http.StatusServiceUnavailable, a.status)
-				assert.Less(t, time.Since(began), atOnce, "refused without delay")
-				assert.Positive(t, a.waitOf(t))
-				assert.LessOrEqual(t, a.waitOf(t), 3*time.Second)
+				assert.Less(t, time.Since(began), maxRefusalTime, "refused without delay")
+				assert.Positive(t, a.retryAfter(t))
+				assert.LessOrEqual(t, a.retryAfter(t), 3*time.Second)
 				mu.Lock()
 				refused++
 				mu.Unlock()
-				time.Sleep(a.waitOf(t))
+				time.Sleep(a.retryAfter(t))
 				return ask(daemon, n)
 			}) {
 				assert.Equal(t, http.StatusOK, a.status, "Retry-After is accurate")
--- a/entry/restart_test.go
+++ b/entry/restart_test.go
@@ -125,7 +125,7 @@
 	inWorld(t, 2, func(w *world) {
 		w.runner("later", "a", "i-1", 0)
 		time.Sleep(500 * time.Millisecond)
-		w.services = append(w.services, "later")
+		w.extraServices = append(w.extraServices, "later")
 		w.routes = append(w.routes, w.route("/later/", "safe", "later", map[string]any{"attempts": 1}))
 		w.put()
 		time.Sleep(time.Second)
--- a/entry/return_test.go
+++ b/entry/return_test.go
@@ -14,8 +14,8 @@
 	"streambend.example/internal/standin"
 )
 
-// returned holds what callers get in the first second after a restart of all daemons.
-type returned struct {
+// restartResult holds what callers get in the first second after a restart of all daemons.
+type restartResult struct {
 	mu    sync.Mutex
 	sent  int
 	by    map[int]int   // answers by status
@@ -23,22 +23,22 @@
 	ready time.Duration // time from the start until the last daemon was ready
 }
 
-// comeBack restarts all daemons at once and sends requests to those that are ready, at half of the team's
+// restartAll restarts all daemons at once and sends requests to those that are ready, at half of the team's
 // limit.
-func comeBack(t *testing.T, daemons int) *returned {
-	r := &returned{by: make(map[int]int)}
+func restartAll(t *testing.T, daemons int) *restartResult {
+	r := &restartResult{by: make(map[int]int)}
 	const perSecond = 50
 	inWorldOf(t, daemons, func(w *world) {
-		w.first = true
+		w.bootstrap = true
 		w.zones = []string{"a", "b", "c", "d", "e", "f"}
 		w.rate = 2 * 200 * perSecond
 		w.links = make(map[string]*standin.Link)
-		w.strong = 18
+		w.strongBoxes = 18
 	}, func(w *world) {
 		for i := range 6 {
 			w.runner(plain, w.zones[i], fmt.Sprint("i-", i), 0)
 		}
-		w.first = false
+		w.bootstrap = false
 		for _, d := range w.daemons {
 			d.Kill()
 		}
@@ -80,7 +80,7 @@
 // given Retry-After.
 func TestNobodyBelowALimitIsRefusedAfterAFullRestart(t *testing.T) {
 	for _, daemons := range []int{30, 60, 120} {
-		r := comeBack(t, daemons)
+		r := restartAll(t, daemons)
 		t.Logf("%d daemons: ready after %s, answers by status %v, last refusal after %s", daemons, r.ready, r.by, r.last)
 		assert.Equal(t, r.sent, r.by[http.StatusOK], "%d daemons", daemons)
 		assert.Greater(t, r.sent, 30, "%d daemons", daemons)
--- a/entry/rollout_test.go
+++ b/entry/rollout_test.go
@@ -19,10 +19,10 @@
 
 // Bounds of a version that is rolled out in these worlds: the defaults of the settings.
 const (
-	untriedShare = 0.1
-	untriedSlack = 50
-	rollBackIn   = 5 * time.Second
-	fiftieth     = 50
+	untriedShare   = 0.1
+	untriedSlack   = 50
+	rollBackBound  = 5 * time.Second
+	badAnswerLimit = 50
 )
 
 // order writes an operator's order.
@@ -107,10 +107,10 @@
 	return n
 }
 
-// exposed checks that a version got no more requests until its deadline than an untried one may.
-func (w *world) exposed(ordered time.Time, d time.Duration, old, young []*standin.Runner) {
+// checkExposure checks that a version got no more requests until its deadline than an untried one may.
+func (w *world) checkExposure(ordered time.Time, d time.Duration, old, upgraded []*standin.Runner) {
 	w.t.Helper()
-	n := ranBetween(young, ordered, ordered.Add(d))
+	n := ranBetween(upgraded, ordered, ordered.Add(d))
 	all := n + ranBetween(old, ordered, ordered.Add(d))
 	assert.LessOrEqual(w.t, float64(n), untriedShare*float64(all)+untriedSlack, "of %d", all)
 	w.t.Logf("%d of %d requests went to the new version until the deadline", n, all)
@@ -139,8 +139,8 @@
 	})
 }
 
-// rolledOut runs an order among some daemons. before is called before the order is written, more after.
-func rolledOut(t *testing.T, daemons int, fault standin.RunnerFault, before, more func(w *world), check func(w *world, ordered time.Time, old, young []*standin.Runner)) {
+// runRollOut runs an order among some daemons. before is called before the order is written, more after.
+func runRollOut(t *testing.T, daemons int, fault standin.RunnerFault, before, more func(w *world), check func(w *world, ordered time.Time, old, upgraded []*standin.Runner)) {
 	const length = 8 * time.Second
 	inZones(t, daemons, []string{"a", "b"}, func(w *world) {
 		old := w.versions(plain, "v1", 4, 0, standin.RunnerFault{})
@@ -152,49 +152,49 @@
 		time.Sleep(time.Second)
 		ordered := time.Now()
 		w.order(plain, "v2", length)
-		young := w.versions(plain, "v2", 4, 0, fault)
+		upgraded := w.versions(plain, "v2", 4, 0, fault)
 		if more != nil {
 			more(w)
 		}
 		time.Sleep(time.Until(ordered.Add(length + 10*time.Second)))
 		asked, failed := stop()
 		t.Logf("%d of %d answers were unsuccessful", failed, asked)
-		w.exposed(ordered, length, old, young)
-		check(w, ordered, old, young)
+		w.checkExposure(ordered, length, old, upgraded)
+		check(w, ordered, old, upgraded)
 	})
 }
 
 func TestAGoodVersionIsCompleted(t *testing.T) {
 	for _, daemons := range []int{3, 16, 60} {
 		t.Run(fmt.Sprint(daemons), func(t *testing.T) {
-			rolledOut(t, daemons, standin.RunnerFault{}, nil, nil, func(w *world, ordered time.Time, old, young []*standin.Runner) {
+			runRollOut(t, daemons, standin.RunnerFault{}, nil, nil, func(w *world, ordered time.Time, old, upgraded []*standin.Runner) {
 				state, target := w.status(plain)
 				assert.Equal(t, "completed", state)
 				assert.Equal(t, "v2", target)
 				now := time.Now()
 				assert.Zero(t, ranBetween(old, now.Add(-3*time.Second), now), "all requests go to the new version")
-				assert.NotZero(t, ranBetween(young, now.Add(-3*time.Second), now))
+				assert.NotZero(t, ranBetween(upgraded, now.Add(-3*time.Second), now))
 			})
 		})
 	}
 }
 
-// goneBy checks that a bad version gets no requests from rollBackIn after its 50th bad answer on.
-func goneBy(t *testing.T, young []*standin.Runner, bad func(i int) bool) {
+// checkRolledBack checks that a bad version gets no requests from rollBackBound after its 50th bad answer on.
+func checkRolledBack(t *testing.T, upgraded []*standin.Runner, bad func(i int) bool) {
 	t.Helper()
 	var times []time.Time
-	for _, r := range young {
+	for _, r := range upgraded {
 		for i, x := range r.Ran() {
 			if bad(i) {
 				times = append(times, x.At)
 			}
 		}
 	}
-	if len(times) < fiftieth {
+	if len(times) < badAnswerLimit {
 		return
 	}
-	limit := nth(times, fiftieth-1).Add(rollBackIn)
-	assert.Zero(t, ranBetween(young, limit, limit.Add(time.Hour)))
+	limit := nth(times, badAnswerLimit-1).Add(rollBackBound)
+	assert.Zero(t, ranBetween(upgraded, limit, limit.Add(time.Hour)))
 }
 
 func nth(times []time.Time, n int) time.Time {
@@ -220,13 +220,13 @@
 		"fails, 16, the store is down": {16, standin.RunnerFault{FailEach: 2}, func(w *world) { w.storeDownFor(6 * time.Second) }},
 	} {
 		t.Run(name, func(t *testing.T) {
-			rolledOut(t, tc.daemons, tc.fault, nil, tc.more, func(w *world, ordered time.Time, old, young []*standin.Runner) {
+			runRollOut(t, tc.daemons, tc.fault, nil, tc.more, func(w *world, ordered time.Time, old, upgraded []*standin.Runner) {
 				state, target := w.status(plain)
 				assert.Equal(t, "rolled_back", state)
 				assert.Equal(t, "v2", target)
-				goneBy(t, young, func(i int) bool { return tc.fault.Slower > 0 || i%2 == 0 })
+				checkRolledBack(t, upgraded, func(i int) bool { return tc.fault.Slower > 0 || i%2 == 0 })
 				now := time.Now()
-				assert.Zero(t, ranBetween(young, now.Add(-3*time.Second), now))
+				assert.Zero(t, ranBetween(upgraded, now.Add(-3*time.Second), now))
 				assert.NotZero(t, ranBetween(old, now.Add(-3*time.Second), now))
 			})
 		})
@@ -244,10 +244,10 @@
 				}
 			}
 			down := func(w *world) { w.storeDownFor(6 * time.Second) }
-			rolledOut(t, 3, standin.RunnerFault{FailEach: 2}, before, down, func(w *world, _ time.Time, _, young []*standin.Runner) {
+			runRollOut(t, 3, standin.RunnerFault{FailEach: 2}, before, down, func(w *world, _ time.Time, _, upgraded []*standin.Runner) {
 				state, _ := w.status(plain)
 				assert.Equal(t, "rolled_back", state)
-				goneBy(t, young, func(i int) bool { return i%2 == 0 })
+				checkRolledBack(t, upgraded, func(i int) bool { return i%2 == 0 })
 			})
 		})
 	}
@@ -274,7 +274,7 @@
 				time.Sleep(4 * time.Second)
 				ordered := time.Now()
 				w.order(plain, "v2", length)
-				young := w.versions(plain, "v2", 4, 0, standin.RunnerFault{FailEach: 2})
+				upgraded := w.versions(plain, "v2", 4, 0, standin.RunnerFault{FailEach: 2})
 				stop := w.load(150, http.MethodPost, "/write/")
 				time.Sleep(after)
 				for i, d := range w.daemons {
@@ -283,11 +283,11 @@
 				}
 				time.Sleep(length + 6*time.Second)
 				stop()
-				w.exposed(ordered, length, old, young)
+				w.checkExposure(ordered, length, old, upgraded)
 				state, _ := w.status(plain)
 				assert.Equal(t, "rolled_back", state)
 				now := time.Now()
-				assert.Zero(t, ranBetween(young, now.Add(-3*time.Second), now))
+				assert.Zero(t, ranBetween(upgraded, now.Add(-3*time.Second), now))
 			})
 		})
 	}
@@ -308,7 +308,7 @@
 		assert.Equal(t, http.StatusOK, w.ask(0, http.MethodPost, "/write/", "id-2").status)
 
 		w.order(plain, "v2", 20*time.Second)
-		young := w.versions(plain, "v2", 2, 0, standin.RunnerFault{})
+		upgraded := w.versions(plain, "v2", 2, 0, standin.RunnerFault{})
 		time.Sleep(2 * time.Second)
 		state, target = w.status(plain)
 		assert.Equal(t, []string{"running", "v2"}, []string{state, target})
@@ -320,7 +320,7 @@
 		for i := range 60 {
 			assert.Equal(t, http.StatusOK, w.ask(i%2, http.MethodPost, "/write/", fmt.Sprint("id-a-", i)).status)
 		}
-		assert.Zero(t, ranBetween(young, from, from.Add(time.Hour)))
+		assert.Zero(t, ranBetween(upgraded, from, from.Add(time.Hour)))
 		assert.NotZero(t, ranBetween(old, from, from.Add(time.Hour)))
 	})
 }
@@ -332,17 +332,17 @@
 		w.versions(plain, "v1", 4, 0, standin.RunnerFault{})
 		time.Sleep(4 * time.Second)
 		w.order(plain, "v2", 30*time.Second)
-		young := w.versions(plain, "v2", 4, 0, standin.RunnerFault{})
+		upgraded := w.versions(plain, "v2", 4, 0, standin.RunnerFault{})
 		stop := w.load(150, http.MethodPost, "/write/")
 		time.Sleep(2 * time.Second)
 		name := "daemon-2"
-		w.apart.Store(&name)
+		w.isolated.Store(&name)
 		time.Sleep(4 * time.Second)
 		from := time.Now()
 		time.Sleep(4 * time.Second)
 		stop()
-		assert.NotZero(t, ranBetween(young, from, from.Add(time.Hour)), "the others go on")
-		for _, r := range young {
+		assert.NotZero(t, ranBetween(upgraded, from, from.Add(time.Hour)), "the others go on")
+		for _, r := range upgraded {
 			for _, x := range r.Ran() {
 				var i int
 				if _, err := fmt.Sscanf(x.ID, "id-%d", &i); err == nil && x.At.After(from) {
--- a/entry/rolloutcost_test.go
+++ b/entry/rolloutcost_test.go
@@ -23,7 +23,7 @@
 	}
 	for _, ordered := range []bool{false, true} {
 		inZones(t, daemons, []string{"a", "b", "c", "d"}, func(w *world) {
-			w.services = []string{"second"}
+			w.extraServices = []string{"second"}
 			w.routes = append(w.routes, w.route("/second/", "unsafe", "second", nil))
 			w.put()
 			for _, s := range []string{plain, "second"} {
--- a/entry/rolloutdrawn_test.go
+++ b/entry/rolloutdrawn_test.go
@@ -13,9 +13,9 @@
 	"streambend.example/internal/standin"
 )
 
-// drawnOutage orders a bad version among daemons during an outage of the store, with all parameters drawn
-// from a seed.
-func drawnOutage(t *testing.T, seed uint64) {
+// checkRandomOutage orders a bad version among daemons during an outage of the store, with all parameters
+// drawn from a seed.
+func checkRandomOutage(t *testing.T, seed uint64) {
 	r := rand.New(rand.NewPCG(seed, 2))
 	daemons := []int{3, 9, 16, 33}[r.IntN(4)]
 	writes := r.IntN(12)
@@ -39,18 +39,18 @@
 			w.store.SetFault(standin.RowsFault{})
 		}()
 	}
-	rolledOut(t, daemons, standin.RunnerFault{FailEach: 2}, before, outage, func(w *world, _ time.Time, _, young []*standin.Runner) {
+	runRollOut(t, daemons, standin.RunnerFault{FailEach: 2}, before, outage, func(w *world, _ time.Time, _, upgraded []*standin.Runner) {
 		state, _ := w.status(plain)
 		assert.Equal(t, "rolled_back", state)
-		goneBy(t, young, func(i int) bool { return i%2 == 0 })
+		checkRolledBack(t, upgraded, func(i int) bool { return i%2 == 0 })
 		now := time.Now()
-		assert.Zero(t, ranBetween(young, now.Add(-3*time.Second), now))
+		assert.Zero(t, ranBetween(upgraded, now.Add(-3*time.Second), now))
 	})
 }
 
 // Runs outages drawn from seeds, as TestCallersAreServedThroughRandomCuts does for cuts.
 func TestABadVersionIsRolledBackThroughRandomOutages(t *testing.T) {
-	for _, seed := range drawnSeeds(2) {
-		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) { drawnOutage(t, seed) })
+	for _, seed := range seedsToRun(2) {
+		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) { checkRandomOutage(t, seed) })
 	}
 }
--- a/entry/sleep_test.go
+++ b/entry/sleep_test.go
@@ -20,13 +20,13 @@
 // meanwhile, so without a correction this state looks fresh and is used until the store or another daemon
 // has answered.
 
-// inSleepyWorld is inWorld with boxes that f can suspend, all of them together.
-func inSleepyWorld(t *testing.T, daemons int, f func(w *world, sleep func(time.Duration))) {
+// inSuspendableWorld is inWorld with boxes that f can suspend, all of them together.
+func inSuspendableWorld(t *testing.T, daemons int, f func(w *world, suspend func(time.Duration))) {
 	t.Helper()
-	var slept atomic.Int64
-	slept.Store(int64(time.Hour)) // time suspended before the daemons started
+	var suspended atomic.Int64
+	suspended.Store(int64(time.Hour)) // time suspended before the daemons started
 	old := clock.Suspended
-	clock.Suspended = func() time.Duration { return time.Duration(slept.Load()) }
+	clock.Suspended = func() time.Duration { return time.Duration(suspended.Load()) }
 	clock.Refresh()
 	t.Cleanup(func() {
 		clock.Suspended = old
@@ -34,18 +34,18 @@
 	})
 	inWorldOf(t, daemons, func(w *world) {
 		w.routes = append(w.routes, w.route("/open/", "safe", plain, map[string]any{"attempts": 1, "public": true}))
-	}, func(w *world) { f(w, func(d time.Duration) { slept.Add(int64(d)) }) })
+	}, func(w *world) { f(w, func(d time.Duration) { suspended.Add(int64(d)) }) })
 }
 
 func TestStateFromBeforeASuspensionIsNotUsed(t *testing.T) {
-	inSleepyWorld(t, 2, func(w *world, sleep func(time.Duration)) {
+	inSuspendableWorld(t, 2, func(w *world, suspend func(time.Duration)) {
 		w.runner(plain, "a", "i-1", 0)
 		time.Sleep(time.Second)
 		for _, path := range []string{"/write/", "/open/"} {
 			require.Equal(t, http.StatusOK, w.ask(0, http.MethodPost, path, "before "+path).status)
 		}
 		w.store.SetFault(standin.RowsFault{Silent: true})
-		sleep(10 * time.Second)
+		suspend(10 * time.Second)
 		// The key may have been revoked, the endpoint may have gone.
 		for _, path := range []string{"/write/", "/open/"} {
 			a := w.ask(0, http.MethodPost, path, "after "+path)
@@ -64,12 +64,12 @@
 
 // A request whose deadline passed during the suspension is ended as the box wakes.
 func TestADeadlinePassedInASuspensionEndsTheRequest(t *testing.T) {
-	inSleepyWorld(t, 1, func(w *world, sleep func(time.Duration)) {
+	inSuspendableWorld(t, 1, func(w *world, suspend func(time.Duration)) {
 		r := w.runner(engines, "a", "i-1", 1000)
 		done := make(chan answer)
 		go func() { done <- w.ask(0, http.MethodPost, "/digest/", "id-1") }()
 		time.Sleep(time.Second)
-		sleep(10 * time.Second)
+		suspend(10 * time.Second)
 		woke := time.Now()
 		<-done
 		assert.Less(t, time.Since(woke), 300*time.Millisecond)
@@ -83,14 +83,14 @@
 // box is suspended at ten moments between two reports.
 func TestALeaseExpiredInASuspensionIsNotUsed(t *testing.T) {
 	for at := range 10 {
-		inSleepyWorld(t, 2, func(w *world, sleep func(time.Duration)) {
+		inSuspendableWorld(t, 2, func(w *world, suspend func(time.Duration)) {
 			// Between two checks for due work, every 250 ms: a call in transit at the suspension does not
 			// count.
 			time.Sleep(12*time.Second + 37*time.Millisecond + time.Duration(at)*500*time.Millisecond)
 			before := len(w.api.Calls("/usage"))
 			require.NotZero(t, before)
 			w.store.SetFault(standin.RowsFault{Silent: true}) // nobody can renew it
-			sleep(10 * time.Second)
+			suspend(10 * time.Second)
 			time.Sleep(3 * time.Second)
 			assert.Len(t, w.api.Calls("/usage"), before, "suspended after %d half seconds", at)
 		})
--- a/entry/start_test.go
+++ b/entry/start_test.go
@@ -20,7 +20,7 @@
 func TestStartsOfManyDaemonsMakeFewStoreCalls(t *testing.T) {
 	const daemons = 60
 	inWorldOf(t, daemons, func(w *world) {
-		w.first = true
+		w.bootstrap = true
 		w.zones = []string{"a", "b", "c", "d", "e", "f"}
 	}, func(w *world) {
 		// Per daemon: own row, the others' rows, catalog, endpoints. The readers follow two feeds for two
@@ -28,7 +28,7 @@
 		const readers = 6
 		assert.Less(t, w.storeCalls(), daemons*4+readers*(2*5+6), "start of the whole system")
 
-		w.first = false
+		w.bootstrap = false
 		before := w.storeCalls()
 		restarts := 0
 		for i, d := range w.daemons {
@@ -53,8 +53,8 @@
 	const daemons, readers = 60, 6
 	var all, feeds int
 	inWorldOf(t, daemons, func(w *world) {
-		w.first = true
-		w.unset = 600 * time.Millisecond
+		w.bootstrap = true
+		w.configDelay = 600 * time.Millisecond
 		w.zones = []string{"a", "b", "c", "d", "e", "f"}
 	}, func(w *world) {
 		all, feeds = w.storeCalls(), w.store.Calls("/streambend/rows-feed")
--- a/entry/startorder_test.go
+++ b/entry/startorder_test.go
@@ -18,13 +18,13 @@
 
 // startStep is a change of an endpoint or its entry, and the time until the next one.
 type startStep struct {
-	what string
-	wait time.Duration
+	event string
+	wait  time.Duration
 }
 
-// seenBy is the time until all daemons have seen a change of an entry: the hold time of a feed and two
-// rounds of queries.
-const seenBy = 1200 * time.Millisecond
+// propagationTime is the time until all daemons have seen a change of an entry: the hold time of a feed and
+// two rounds of queries.
+const propagationTime = 1200 * time.Millisecond
 
 var startSteps = []string{"starts again", "is entered by an earlier start", "is gone", "cannot be read", "leaves"}
 
@@ -37,8 +37,9 @@
 	return out
 }
 
-// play takes one endpoint through some steps. It returns the start that requests must use, nil for none.
-func (w *world) play(steps []startStep) (used *standin.Runner) {
+// applySteps takes one endpoint through some steps. It returns the start that requests must use, nil for
+// none.
+func (w *world) applySteps(steps []startStep) (used *standin.Runner) {
 	var starts []*standin.Runner
 	var began time.Time // when the newest start began
 	put := func(r *standin.Runner, state string) {
@@ -53,13 +54,13 @@
 	}
 	begin()
 	for _, s := range steps {
-		switch s.what {
+		switch s.event {
 		case "starts again":
 			begin()
 		case "is entered by an earlier start":
 			// Only once all daemons have seen the newer start. Before that, a daemon may know the earlier
 			// start alone, and the store names just that one.
-			if used != nil && time.Since(began) >= seenBy {
+			if used != nil && time.Since(began) >= propagationTime {
 				put(starts[0], "ready")
 			}
 		case "is gone":
@@ -91,7 +92,7 @@
 					return // a world takes 0.2 s, or 0.5 s with 60 daemons
 				}
 				inZones(t, daemons, []string{"a", "b", "c"}, func(w *world) {
-					used := w.play(steps)
+					used := w.applySteps(steps)
 					time.Sleep(2 * time.Second)
 					before := w.ran()
 					for i := range 6 {
--- a/entry/tally_test.go
+++ b/entry/tally_test.go
@@ -141,12 +141,12 @@
 	old.Merge(start, "daemon", []conn.Tally{daemon.Own()})
 	_, by := old.Since(0, entry.ScopeDirect)
 	next.Merge(start, "", by)
-	edit, told := next.Since(0, entry.ScopeDirect)
-	assert.Len(t, told, 1, "its own tally")
+	edit, sent := next.Since(0, entry.ScopeDirect)
+	assert.Len(t, sent, 1, "its own tally")
 	next.Merge(start, "daemon", []conn.Tally{daemon.Own()})
-	_, told = next.Since(edit, entry.ScopeDirect)
-	assert.Len(t, told, 1)
-	assert.Equal(t, map[string]int64{"team": 5}, told[0].Admit)
+	_, sent = next.Since(edit, entry.ScopeDirect)
+	assert.Len(t, sent, 1)
+	assert.Equal(t, map[string]int64{"team": 5}, sent[0].Admit)
 }
 
 // A daemon that was idle for a minute must not be forgotten, or all that it has ever admitted is charged
--- a/entry/tallymodel_test.go
+++ b/entry/tallymodel_test.go
@@ -14,18 +14,18 @@
 	"streambend.example/entry"
 )
 
-// counters is a model of a fleet: daemons count and report to their zone's reader, and the readers query
+// fleetModel is a model of a fleet: daemons count and report to their zone's reader, and the readers query
 // each other, in an order drawn by the test.
-type counters struct {
-	now     time.Time
-	names   []string
-	tallies map[string]*entry.Tallies
-	reader  [3]string // by zone
-	told    map[feed]uint64
-	charged map[string]int64 // units, by the daemon that charges them
-	truth   map[string]int64 // units admitted, by daemon
-	windows map[int64]int    // requests begun
-	window  int64
+type fleetModel struct {
+	now      time.Time
+	names    []string
+	tallies  map[string]*entry.Tallies
+	reader   [3]string // by zone
+	received map[feed]uint64
+	charged  map[string]int64 // units, by the daemon that charges them
+	admitted map[string]int64 // units admitted, by daemon
+	windows  map[int64]int    // requests begun
+	window   int64
 }
 
 // feed identifies what one reader receives from another, for a scope.
@@ -34,15 +34,15 @@
 	of       entry.Scope
 }
 
-func (c *counters) join() string {
+func (c *fleetModel) join() string {
 	name := fmt.Sprint("d", len(c.names))
 	c.tallies[name] = entry.NewTallies(conn.Member{Name: name, Start: int64(len(c.names)) + 1})
 	c.names = append(c.names, name)
 	return name
 }
 
-// tell sends a daemon's whole tally to its zone's reader.
-func (c *counters) tell(i int) {
+// report sends a daemon's whole tally to its zone's reader.
+func (c *fleetModel) report(i int) {
 	name := c.names[i]
 	if r := c.reader[i%3]; r != name {
 		in, _ := c.tallies[r].Merge(c.now, name, []conn.Tally{c.tallies[name].Own()})
@@ -50,27 +50,27 @@
 	}
 }
 
-func (c *counters) charge(name string, in []entry.Admitted) {
+func (c *fleetModel) charge(name string, in []entry.Admitted) {
 	for _, a := range in {
 		c.charged[name] += a.Units
 	}
 }
 
 // pull has a reader query another; the answer may be lost.
-func (c *counters) pull(to, from string, of entry.Scope, lost bool) {
+func (c *fleetModel) pull(to, from string, of entry.Scope, lost bool) {
 	if to == from {
 		return
 	}
 	f := feed{to, from, of}
-	edit, tallies := c.tallies[from].Since(c.told[f], of)
+	edit, tallies := c.tallies[from].Since(c.received[f], of)
 	if lost {
 		return
 	}
 	in, whole := c.tallies[to].Merge(c.now, "", decoded(tallies))
 	c.charge(to, in)
-	c.told[f] = edit
+	c.received[f] = edit
 	if !whole {
-		c.told[f] = 0
+		c.received[f] = 0
 	}
 }
 
@@ -87,9 +87,9 @@
 // to another zone's reader.
 func TestReadersConvergeOnAllCounts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		c := &counters{
-			now: start, tallies: make(map[string]*entry.Tallies), told: make(map[feed]uint64), window: 100,
-			charged: make(map[string]int64), truth: make(map[string]int64), windows: make(map[int64]int),
+		c := &fleetModel{
+			now: start, tallies: make(map[string]*entry.Tallies), received: make(map[feed]uint64), window: 100,
+			charged: make(map[string]int64), admitted: make(map[string]int64), windows: make(map[int64]int),
 		}
 		for range 9 {
 			c.join()
@@ -103,14 +103,14 @@
 			"admit": func(t *rapid.T) {
 				name, n := c.names[daemon.Draw(t, "d")], int64(rapid.IntRange(-5, 20).Draw(t, "units"))
 				c.tallies[name].Admit(team.Draw(t, "team"), n)
-				c.truth[name] += n
+				c.admitted[name] += n
 			},
 			"begin": func(t *rapid.T) {
 				c.tallies[c.names[daemon.Draw(t, "d")]].Begin(team.Draw(t, "team"), c.window)
 				c.windows[c.window]++
 			},
 			"window": func(*rapid.T) { c.window++ },
-			"tell":   func(t *rapid.T) { c.tell(daemon.Draw(t, "d")) },
+			"tell":   func(t *rapid.T) { c.report(daemon.Draw(t, "d")) },
 			"stray": func(t *rapid.T) { // reports to another zone's reader
 				name, r := c.names[daemon.Draw(t, "d")], c.reader[zone.Draw(t, "zone")]
 				if name != r {
@@ -146,7 +146,7 @@
 				require.Equal(t, n, sum, "window %d at %s", w, r)
 			}
 			others := int64(0)
-			for name, n := range c.truth {
+			for name, n := range c.admitted {
 				if name != r {
 					others += n
 				}
@@ -158,7 +158,7 @@
 	})
 }
 
-func (c *counters) members() (out []conn.Member) {
+func (c *fleetModel) members() (out []conn.Member) {
 	for i, name := range c.names {
 		out = append(out, conn.Member{Name: name, Start: int64(i) + 1})
 	}
@@ -166,9 +166,9 @@
 }
 
 // settle lets all daemons report to their readers and all readers query each other.
-func (c *counters) settle() {
+func (c *fleetModel) settle() {
 	for i := range c.names {
-		c.tell(i)
+		c.report(i)
 	}
 	for range 2 {
 		for _, to := range c.reader {
--- a/entry/wordcost_test.go
+++ b/entry/wordcost_test.go
@@ -31,7 +31,7 @@
 				return n
 			}
 			before := total()
-			w.demand(upTo(daemons), 120, span, w.askOf)
+			w.demand(upTo(daemons), 120, span, w.askStreamTagged)
 			perSecond = float64(total()-before) / span.Seconds() / daemons
 		})
 		return perSecond
--- a/entry/world_test.go
+++ b/entry/world_test.go
@@ -25,31 +25,31 @@
 
 // world is a set of daemons with stand-ins for the platform, on an in-memory network and in virtual time.
 type world struct {
-	t        *testing.T
-	net      *standin.Net
-	store    *standin.Rows
-	api      *standin.DutyAPI
-	daemons  []*entry.Daemon
-	cut      []context.CancelFunc
-	runners  []*standin.Runner
-	client   *http.Client
-	version  int64
-	routes   []map[string]any
-	keys     []string
-	more     []string // further teams, without a limit, each with its own key
-	services []string // further services without engines
-	rate     float64
-	zones    []string                 // assigned to the daemons in turn
-	strong   int                      // number of daemons with more processor time than the rest; 0 if all have the same
-	links    map[string]*standin.Link // links of the daemons' boxes; nil for a network without limits
-	bulk     []map[string]any         // routes that get no requests
-	seeds    []string                 // addresses by which daemons find others without the store
-	first    bool                     // the daemons bootstrap the whole system
-	unset    time.Duration            // how long after the start the configuration is written
-	connect  atomic.Int64             // time to open a connection to an endpoint, in nanoseconds
-	born     time.Time
-	apart    atomic.Pointer[string] // daemon whose links to other daemons alone are cut; nil for none
-	log      worldLog
+	t             *testing.T
+	net           *standin.Net
+	store         *standin.Rows
+	api           *standin.DutyAPI
+	daemons       []*entry.Daemon
+	cancels       []context.CancelFunc
+	runners       []*standin.Runner
+	client        *http.Client
+	version       int64
+	routes        []map[string]any
+	keys          []string
+	extraTeams    []string // further teams, without a limit, each with its own key
+	extraServices []string // further services without engines
+	rate          float64
+	zones         []string                 // assigned to the daemons in turn
+	strongBoxes   int                      // number of daemons with more processor time than the rest; 0 if all have the same
+	links         map[string]*standin.Link // links of the daemons' boxes; nil for a network without limits
+	unusedRoutes  []map[string]any         // routes that get no requests
+	seeds         []string                 // addresses by which daemons find others without the store
+	bootstrap     bool                     // the daemons bootstrap the whole system
+	configDelay   time.Duration            // how long after the start the configuration is written
+	connectDelay  atomic.Int64             // time to open a connection to an endpoint, in nanoseconds
+	created       time.Time
+	isolated      atomic.Pointer[string] // daemon whose links to other daemons alone are cut; nil for none
+	log           worldLog
 }
 
 // Service names, host and keys of a world.
@@ -83,15 +83,15 @@
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t)
 		change(w)
-		if w.unset == 0 {
+		if w.configDelay == 0 {
 			w.put()
 		}
 		for range daemons {
 			w.start()
 		}
-		if w.unset > 0 {
+		if w.configDelay > 0 {
 			go func() {
-				time.Sleep(w.unset)
+				time.Sleep(w.configDelay)
 				w.put()
 			}()
 		}
@@ -100,14 +100,14 @@
 		before := outer.Failed() // in an earlier world of the same test
 		f(w)
 		if !before && (t.Failed() || outer.Failed()) {
-			w.log.keep(outer)
+			w.log.save(outer)
 		}
 		w.close()
 	})
 }
 
 func newWorld(t *testing.T) *world {
-	w := &world{t: t, net: standin.NewNet(), keys: []string{key}, rate: 0, zones: []string{"a"}, born: time.Now()}
+	w := &world{t: t, net: standin.NewNet(), keys: []string{key}, rate: 0, zones: []string{"a"}, created: time.Now()}
 	var err error
 	w.store, err = standin.NewRows(w.net, storeAddress)
 	require.NoError(t, err)
@@ -140,7 +140,7 @@
 	teams := []map[string]any{{
 		"name": team, "api_keys": w.keys, "unit": "tokens", "plain_tokens": 200, "rate_per_s": w.rate, "burst": w.rate,
 	}}
-	for _, name := range w.more {
+	for _, name := range w.extraTeams {
 		teams = append(teams, map[string]any{"name": name, "api_keys": []string{"key of " + name}, "unit": "tokens", "plain_tokens": 200})
 	}
 	services := []map[string]any{
@@ -148,11 +148,11 @@
 			"scaling": map[string]any{"minimum": 1, "maximum": 6, "startup_s": 4, "spot_price": 0.2, "zone_prices": map[string]any{"a": 1.0, "b": 0.8}}},
 		{"name": plain, "health_path": "/health", "connection_limit": 100},
 	}
-	for _, name := range w.services {
+	for _, name := range w.extraServices {
 		services = append(services, map[string]any{"name": name, "health_path": "/health", "connection_limit": 100})
 	}
 	b, err := json.Marshal(map[string]any{
-		"version": w.version, "routes": append(slices.Clone(w.routes), w.bulk...), "services": services,
+		"version": w.version, "routes": append(slices.Clone(w.routes), w.unusedRoutes...), "services": services,
 		"limits":  map[string]any{"header_bytes": 16384, "body_bytes": 100000, "header_timeout_ms": 3000, "idle_timeout_ms": 15000},
 		"tenants": teams,
 	})
@@ -170,13 +170,13 @@
 func (w *world) startNamed(name string, i int) *entry.Daemon {
 	site := w.site(name, i)
 	ctx, cancel := context.WithCancel(w.t.Context())
-	w.cut = append(w.cut, cancel)
+	w.cancels = append(w.cancels, cancel)
 	n := seam.Network(w.net)
 	if w.links != nil {
 		w.links[name] = standin.NewLink(w.rateOf(i))
 		n = w.links[name].Over(n)
 	}
-	d, err := entry.New(site, named{n, ctx, name, w}, w.log.of(name), 0)
+	d, err := entry.New(site, daemonNetwork{n, ctx, name, w}, w.log.logger(name), 0)
 	require.NoError(w.t, err)
 	return d
 }
@@ -192,7 +192,7 @@
 			"retry_budget_ratio": 0.2, "budget_window_s": 10, "retry_budget_slack": 56, "quota_window_s": 8, "lease_ms": 3000,
 			"usage_window_s": 5, "usage_lateness_s": 10},
 		"platform": {"address": %q}, "cloud_api": {"address": %q, "duties": ["usage_reporting", "scaling"], "duty_per_s": 50}}`,
-		name, w.zones[i%len(w.zones)], w.first, seeds, i, i, i, i, w.share(i), w.store.Address(), w.api.Address())
+		name, w.zones[i%len(w.zones)], w.bootstrap, seeds, i, i, i, i, w.share(i), w.store.Address(), w.api.Address())
 	site, err := platform.ReadSite(strings.NewReader(settings))
 	require.NoError(w.t, err)
 	return site
@@ -208,9 +208,9 @@
 // share returns the CPU share of a daemon's box.
 func (w *world) share(i int) float64 {
 	switch {
-	case w.strong == 0:
+	case w.strongBoxes == 0:
 		return 0.4
-	case i < w.strong:
+	case i < w.strongBoxes:
 		return strongShare
 	}
 	return weakShare
@@ -218,7 +218,7 @@
 
 // rateOf returns the rate of the link of a daemon's box.
 func (w *world) rateOf(i int) float64 {
-	if i < w.strong {
+	if i < w.strongBoxes {
 		return strongRate
 	}
 	return weakRate
@@ -264,7 +264,7 @@
 	}
 	a := w.answerOf(req)
 	if a.err != nil || a.status != http.StatusOK {
-		w.log.caller(daemon, id, a)
+		w.log.logFailure(daemon, id, a)
 	}
 	return a
 }
@@ -293,7 +293,7 @@
 	for _, d := range w.daemons {
 		d.Kill()
 	}
-	for _, c := range w.cut {
+	for _, c := range w.cancels {
 		c()
 	}
 	for _, r := range w.runners {
--- a/entry/worldlog_test.go
+++ b/entry/worldlog_test.go
@@ -37,8 +37,8 @@
 	return len(b), nil
 }
 
-// of returns the logger of a daemon.
-func (l *worldLog) of(daemon string) *logrus.Logger {
+// logger returns the logger of a daemon.
+func (l *worldLog) logger(daemon string) *logrus.Logger {
 	log := logrus.New()
 	log.SetOutput(l)
 	log.SetFormatter(&logrus.JSONFormatter{TimestampFormat: "15:04:05.000"})
@@ -58,15 +58,15 @@
 	return nil
 }
 
-// caller logs an unsuccessful answer.
-func (l *worldLog) caller(daemon int, id string, a answer) {
-	l.of("caller").WithFields(logrus.Fields{
+// logFailure logs an unsuccessful answer.
+func (l *worldLog) logFailure(daemon int, id string, a answer) {
+	l.logger("caller").WithFields(logrus.Fields{
 		"at": daemon, "request": id, "status": a.status, "body": a.body, "error": a.err, "retry_after": a.header.Get("Retry-After"),
 	}).Warn("unsuccessful answer")
 }
 
-// keep writes the log to a file that outlives the run, and logs its path.
-func (l *worldLog) keep(t *testing.T) {
+// save writes the log to a file that outlives the run, and logs its path.
+func (l *worldLog) save(t *testing.T) {
 	dir := filepath.Join(os.TempDir(), "streambend-failed-worlds")
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		t.Logf("log of the world not saved: %v", err)
