--- a/entry/crash_test.go
+++ b/entry/crash_test.go
@@ -16,10 +16,10 @@
 )
 
 // One request that crashes each endpoint that runs it must be held back after a few crashes, whichever
-// endpoint, attempt, daemon or later start of a daemon meets it. The state of an attempt used to end with
-// it, so that resends, other boxes and the caller's retries crashed 60 to 79 endpoints within a minute,
-// with 18 at work at once. Each engine ended 16 to 140 ms after it had begun the request, and the requests
-// beside it were cut off and sent again.
+// endpoint, attempt, daemon or later start of a daemon meets it. If its crashes are known only to the
+// attempt, the resends, other boxes and the caller's retries crash further endpoints: 60 to 79 engines
+// ended within a minute, with 18 at work at once. Each engine ended 16 to 140 ms after it had begun the
+// request, and the requests beside it were cut off and sent again.
 const (
 	crashing = "crashes what runs it"
 
--- a/entry/repeatedcuts_test.go
+++ b/entry/repeatedcuts_test.go
@@ -81,7 +81,7 @@
 	return out
 }
 
-// Runs series of cuts drawn from seeds; seed 3 has failed before.
+// Runs series of cuts drawn from seeds. Seed 3 is one that failed.
 func TestCallersAreServedThroughRandomCuts(t *testing.T) {
 	for _, seed := range seedsToRun(4) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) { checkRandomCuts(t, seed) })
--- a/entry/staleness_test.go
+++ b/entry/staleness_test.go
@@ -37,9 +37,8 @@
 	})
 }
 
-// A daemon whose configuration is older than its bound must refuse all requests. Previously only requests
-// with keys were refused, from an age of 4.75 s on, while requests on routes without keys were still sent
-// to a service that had been replaced.
+// A daemon whose configuration is older than its bound must refuse all requests. A check of the age for
+// keys alone, from 4.75 s on, lets requests on routes without keys reach a service that has been replaced.
 func TestStaleConfigurationRefusesRequests(t *testing.T) {
 	checkStaleConfiguration(t, func(w *world) { w.links["daemon-0"].Cut(peerPort, storeAddress) })
 }
