--- a/internal/standin/caller.go
+++ b/internal/standin/caller.go
@@ -8,16 +8,16 @@
 	"time"
 )
 
-// CallerHead is the head of a request as the users' platform's clients send it.
+// CallerHead holds the request headers that clients of the users' platform send.
 type CallerHead struct {
 	ID     string
 	Key    string
 	Wait   time.Duration
-	Tokens string // of the prompt and the most of the answer
-	Prompt string // parts of the prompt
+	Tokens string // token counts: of the prompt, and the maximum of the answer
+	Prompt string // prefix parts of the prompt
 }
 
-// Write writes the head.
+// Write sets the headers on h.
 func (c CallerHead) Write(h http.Header) {
 	h.Set("Streambend-Request-Id", c.ID)
 	h.Set("Streambend-Deadline-Milliseconds", strconv.FormatInt(c.Wait.Milliseconds(), 10))
@@ -26,5 +26,5 @@
 	h.Set("Api-Key", c.Key)
 }
 
-// SignedBy returns which endpoint has signed an answer, or "".
+// SignedBy returns the server signature of a response, or "" if it has none.
 func SignedBy(h http.Header) string { return h.Get("Streambend-Server-Signature") }
--- a/internal/standin/cloud.go
+++ b/internal/standin/cloud.go
@@ -16,25 +16,25 @@
 	"streambend.example/seam"
 )
 
-// Machine is the endpoint that runs on a box.
+// Machine is the endpoint process that runs on a box.
 type Machine interface {
 	Address() string
 	Notice(now time.Time) // a reclaim has been announced
 	Kill()
 }
 
-// Cloud is the cloud API and the lagging box list.
+// Cloud simulates the cloud API and its delayed list of boxes.
 type Cloud struct {
-	// Launch starts the endpoint of a box.
+	// Launch starts the endpoint process of a box.
 	Launch func(seam.Box) Machine
-	Boot   time.Duration // from order to live
-	Lag    time.Duration // how late the list is
+	Boot   time.Duration // from a start order until the box is live
+	Lag    time.Duration // delay of the box list
 
 	mu      sync.Mutex
 	prices  []seam.Price
 	boxes   map[string]*cloudBox
 	tokens  map[string]string
-	refuse  map[string]bool // by zone/class/reclaimable
+	refuse  map[string]bool // keyed by zone/class/reclaimable
 	history []listed
 	refused int
 }
@@ -63,26 +63,25 @@
 	return fmt.Sprintf("%s/%s/%t", zone, class, reclaimable)
 }
 
-// Refuse makes starts of a kind fail, or lets them through again.
+// Refuse makes start orders of a zone, class and reclaimability fail while on is true.
 func (c *Cloud) Refuse(zone, class string, reclaimable, on bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.refuse[slotName(zone, class, reclaimable)] = on
 }
 
-// Refused returns how many starts were refused.
+// Refused returns the number of refused start orders.
 func (c *Cloud) Refused() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.refused
 }
 
-// boxName names the box of an order. The name follows from the order and not from
-// when it came: daemons order at the same time, and the names decide which
-// endpoint a prompt's head belongs to.
+// boxName derives the ID of a box from the token of its start order rather than from arrival order:
+// daemons send orders concurrently, and the IDs decide which endpoint a prompt prefix is routed to.
 func boxName(token string) string { return fmt.Sprintf("box-%08x", uint32(xxhash.Sum64String(token))) }
 
-// Start implements the order; the same token has one effect.
+// Start executes a start order. It is idempotent by token: a repeated token returns the same box.
 func (c *Cloud) Start(now time.Time, o seam.StartOrder) (seam.Box, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -131,8 +130,8 @@
 	return 0
 }
 
-// Reclaim gives notice to the reclaimable boxes that match, and ends them
-// when it has run out. It returns how many there are.
+// Reclaim gives notice to the reclaimable boxes that match and terminates them when the notice
+// period ends. It returns the number of boxes.
 func (c *Cloud) Reclaim(now time.Time, notice time.Duration, match func(seam.Box) bool) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -168,7 +167,7 @@
 	c.record(now)
 }
 
-// record keeps the list as of now; the caller holds the lock.
+// record appends the current box list to the history; the caller holds the lock.
 func (c *Cloud) record(now time.Time) {
 	var p seam.BoxPage
 	if n := len(c.history); n > 0 {
@@ -182,7 +181,7 @@
 	c.history = append(c.history, listed{at: now, page: p})
 }
 
-// List returns the list as it stood Lag ago.
+// List returns the box list as it was Lag ago, without boxes if its sequence number is since.
 func (c *Cloud) List(now time.Time, since int64) seam.BoxPage {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -197,7 +196,7 @@
 	return seam.BoxPage{}
 }
 
-// Boxes returns all boxes as they are, without lag.
+// Boxes returns the current state of all boxes, without lag.
 func (c *Cloud) Boxes() []seam.Box {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -209,8 +208,8 @@
 	return out
 }
 
-// Cost returns what the boxes have cost up to now at their price, and what
-// the same boxes would have cost on demand.
+// Cost returns what the boxes have cost until now at their own prices, and what they would have cost
+// at the on-demand price.
 func (c *Cloud) Cost(now time.Time) (paid, onDemand float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -226,7 +225,7 @@
 	return paid, onDemand
 }
 
-// ServeHTTP answers what cloud.HTTP asks.
+// ServeHTTP serves the requests that cloud.HTTP sends.
 func (c *Cloud) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	now := time.Now()
 	var out any
@@ -270,7 +269,7 @@
 	return out
 }
 
-// SetLag changes how late the list is.
+// SetLag sets the delay of the box list.
 func (c *Cloud) SetLag(d time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/standin/doc.go
+++ b/internal/standin/doc.go
@@ -1,14 +1,14 @@
 // SPDX-License-Identifier: MIT
 
-// Package standin holds the small stand-ins for what surrounds streambend:
-// the platform's table, object store and cloud, the model engines and the
-// plain services. They serve tests and "streambend try" and nothing else.
+// Package standin implements test doubles of the systems around streambend:
+// the platform's table, object store and cloud API, the model engines and the
+// plain services. Only tests and "streambend try" use them.
 //
-// A stand-in recognises just the requests that our adapters send and refuses
-// the rest. Each has switches for the faults it can show:
+// A stand-in accepts only the requests that the adapters send and rejects
+// all others. Each supports fault injection:
 //
 //	tab := standin.NewTable()
 //	tab.Faults.Set(standin.Fault{Down: true})
 //
-// Memory is the same table without HTTP, for tests in virtual time.
+// Memory is the same table without HTTP, for tests that run in virtual time.
 package standin
--- a/internal/standin/duty.go
+++ b/internal/standin/duty.go
@@ -12,7 +12,7 @@
 	"streambend.example/seam"
 )
 
-// DutyCall is a call that the cloud API has taken.
+// DutyCall is a call that the cloud API has accepted.
 type DutyCall struct {
 	Path   string
 	Holder string
@@ -20,7 +20,7 @@
 	Body   string
 }
 
-// ScaleCall is the body of an order.
+// ScaleCall is the body of a call that scales a service.
 type ScaleCall struct {
 	Service string `json:"service"`
 	Zone    string `json:"zone"`
@@ -28,24 +28,24 @@
 	Spot    bool   `json:"spot"`
 }
 
-// Order decodes the body of an order.
+// Order decodes the body of a scale call.
 func (c DutyCall) Order() (s ScaleCall) {
-	json.Unmarshal([]byte(c.Body), &s) // a wrong body shows as a wrong order
+	json.Unmarshal([]byte(c.Body), &s) // an invalid body decodes to an order that fails the test's comparison
 	return s
 }
 
-// DutyAPI is a stand-in of the users' platform's cloud API.
+// DutyAPI is a stand-in for the cloud API of the users' platform.
 type DutyAPI struct {
 	server *http.Server
 	addr   string
 
 	mu    sync.Mutex
 	calls []DutyCall
-	dry   bool // no reclaimable endpoint is to be had
-	lose  bool // takes calls and answers 500
+	dry   bool // no reclaimable capacity: such orders get 409
+	lose  bool // accepts calls but responds with 500
 }
 
-// NewDutyAPI starts the API at an address.
+// NewDutyAPI starts a server for the API at an address.
 func NewDutyAPI(n seam.Network, address string) (*DutyAPI, error) {
 	a := &DutyAPI{}
 	var err error
@@ -56,24 +56,24 @@
 // Address returns host:port.
 func (a *DutyAPI) Address() string { return a.addr }
 
-// Close ends the API.
+// Close stops the server.
 func (a *DutyAPI) Close() { a.server.Close() }
 
-// SetDry tells whether orders of reclaimable endpoints are refused.
+// SetDry sets whether orders of reclaimable endpoints are rejected.
 func (a *DutyAPI) SetDry(dry bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.dry = dry
 }
 
-// SetLose tells whether calls are taken but answered with a failure.
+// SetLose sets whether calls take effect but get an error response.
 func (a *DutyAPI) SetLose(lose bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.lose = lose
 }
 
-// Calls returns the calls taken on a path.
+// Calls returns the accepted calls of a path.
 func (a *DutyAPI) Calls(path string) []DutyCall {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -14,29 +14,29 @@
 	"streambend.example/seam"
 )
 
-// EngineConfig is the speed and the size of a model engine.
+// EngineConfig sets the speed and the capacity of a model engine.
 type EngineConfig struct {
-	Batch       int           // requests that run together
-	Step        time.Duration // between two tokens of a request in an empty batch
-	Crowd       float64       // by how much a full batch lengthens Step
-	Prefill     float64       // prompt tokens a second
-	CacheBlocks int           // blocks the prefix cache holds
-	Lag         time.Duration // how late the load report is
-	Transfer    float64       // tokens of KV a second over the network
+	Batch       int           // maximum number of requests in the batch
+	Step        time.Duration // time per token of a request in an empty batch
+	Crowd       float64       // fraction by which a full batch lengthens Step
+	Prefill     float64       // prompt tokens per second
+	CacheBlocks int           // capacity of the prefix cache in blocks
+	Lag         time.Duration // delay of the load report
+	Transfer    float64       // tokens of KV cache per second over the network
 	ChecksFence bool
 }
 
-// EngineFault is a way in which an engine misbehaves. The zero value is none.
+// EngineFault selects the faults that an engine injects. The zero value injects none.
 type EngineFault struct {
-	CutAfter   int    // closes the connection after so many tokens
-	StallAfter int    // stops sending after so many tokens
-	Garble     bool   // sends the answer of another request
+	CutAfter   int    // closes the connection after this many tokens
+	StallAfter int    // stops sending after this many tokens
+	Garble     bool   // sends the response of another request
 	Short      bool   // ends with the end marker after half the tokens
-	BlackHole  bool   // takes requests and never answers
-	Refuse     bool   // answers 503 before starting
-	SlowTimes  int    // takes so many times as long for each token
-	Repeat     bool   // begins a prompt of token ids by sending its last token again
-	CrashOn    string // ends, with all that it runs, when it begins a plain call whose body holds this; empty for never
+	BlackHole  bool   // accepts requests and never responds
+	Refuse     bool   // responds with 503 without starting the request
+	SlowTimes  int    // factor by which each token takes longer; 0 means 1
+	Repeat     bool   // sends the last token of the prompt again if the prompt is token ids
+	CrashOn    string // crashes on a plain request whose body contains this string; empty for never
 }
 
 // Engine is a model engine with continuous batching.
@@ -48,7 +48,7 @@
 	server *http.Server
 	addr   string
 	done   chan struct{}
-	prompt chan struct{} // holds one while a prompt is computed
+	prompt chan struct{} // semaphore: one prompt is prefilled at a time
 
 	mu       sync.Mutex
 	fault    EngineFault
@@ -57,13 +57,13 @@
 	waiting  waitHeap
 	arrivals int
 	cache    *simplelru.LRU[uint64, string] // block hash to cache key
-	held     map[uint64]int                 // blocks of running requests, which stay
+	held     map[uint64]int                 // reference counts of blocks that running requests use
 	reports  []loadReport
 	events   []cacheEvent
 	epoch    int64
 }
 
-// NewEngine starts an engine on a port of its own.
+// NewEngine starts an engine on an unused port.
 func NewEngine(n seam.Network, name string, cfg EngineConfig, ledger *Ledger) *Engine {
 	e := &Engine{client: seam.HTTPClient(n, 0), cfg: cfg, name: name, ledger: ledger, done: make(chan struct{}), prompt: make(chan struct{}, 1)}
 	e.held = make(map[uint64]int)
@@ -79,7 +79,7 @@
 	return e
 }
 
-// listen serves h on a loopback port of its own.
+// listen serves h on an unused loopback port.
 func listen(n seam.Network, h http.Handler) (*http.Server, string) {
 	l, err := n.Listen("127.0.0.1:0")
 	if err != nil {
@@ -93,14 +93,14 @@
 // Address returns host:port.
 func (e *Engine) Address() string { return e.addr }
 
-// Notice marks the engine as announced to leave.
+// Notice records that a reclaim of the engine's box has been announced.
 func (e *Engine) Notice(now time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.noticed = now
 }
 
-// Kill ends the engine and cuts its connections.
+// Kill stops the engine and closes its connections.
 func (e *Engine) Kill() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -112,14 +112,14 @@
 	}
 }
 
-// SetFault replaces the fault in force.
+// SetFault replaces the injected faults.
 func (e *Engine) SetFault(f EngineFault) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.fault = f
 }
 
-// waiter is a request that waits for a place in the batch.
+// waiter is a request that waits for a slot in the batch.
 type waiter struct {
 	priority int
 	order    int
@@ -153,7 +153,7 @@
 	return w
 }
 
-// enter waits for a place in the batch, in order of priority.
+// enter waits for a slot in the batch, in order of priority, and reports whether it got one.
 func (e *Engine) enter(ctx context.Context, priority int) bool {
 	e.mu.Lock()
 	if e.running < e.cfg.Batch {
@@ -189,7 +189,7 @@
 	e.next()
 }
 
-// next hands a place in the batch on; the caller holds the lock.
+// next passes a freed batch slot to the first waiter, if any; the caller holds the lock.
 func (e *Engine) next() {
 	if len(e.waiting) > 0 {
 		w := heap.Pop(&e.waiting).(*waiter)
@@ -207,7 +207,7 @@
 	return time.Duration(float64(e.cfg.Step) * (1 + e.cfg.Crowd*full) * float64(max(e.fault.SlowTimes, 1)))
 }
 
-// pause waits d, or less if the request or the engine ends.
+// pause waits for d and returns false if the request or the engine ends before.
 func (e *Engine) pause(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
--- a/internal/standin/kv.go
+++ b/internal/standin/kv.go
@@ -13,7 +13,7 @@
 	"time"
 )
 
-// cacheEvent tells that a block of a cache key was removed.
+// cacheEvent reports the eviction of a block of a cache key.
 type cacheEvent struct {
 	Seq     int64  `json:"seq"`
 	Removed string `json:"removed"`
@@ -28,7 +28,7 @@
 	Events  []cacheEvent `json:"events,omitempty"`
 }
 
-// report keeps the load as of now; the caller holds the lock.
+// report appends the current load to the reports; the caller holds the lock.
 func (e *Engine) report() {
 	e.reports = append(e.reports, loadReport{
 		At: time.Now(), Running: e.running, Waiting: len(e.waiting), Batch: e.cfg.Batch,
@@ -62,7 +62,7 @@
 	json.NewEncoder(w).Encode(rep)
 }
 
-// kvBlocks is the KV cache of a context as block hashes.
+// kvBlocks represents the KV cache of a context by the hashes of its blocks.
 type kvBlocks struct {
 	Blocks []uint64 `json:"blocks"`
 }
@@ -92,7 +92,7 @@
 	json.NewEncoder(w).Encode(kv)
 }
 
-// serveImport pulls the KV cache of a context from another engine.
+// serveImport fetches the KV cache of a context from another engine.
 func (e *Engine) serveImport(w http.ResponseWriter, r *http.Request) {
 	var o importOrder
 	json.NewDecoder(r.Body).Decode(&o)
@@ -121,7 +121,7 @@
 	fmt.Fprintf(w, `{"tokens":%d}`, moved)
 }
 
-// order is a fenced order to load a model or to change role.
+// order is an order to load a model or to change role; its epoch is the fencing token.
 type order struct {
 	Epoch int64  `json:"epoch"`
 	Model string `json:"model"`
--- a/internal/standin/ledger.go
+++ b/internal/standin/ledger.go
@@ -10,13 +10,13 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// BlockTokens is how many tokens an engine caches together.
+// BlockTokens is the number of tokens in a block of the prefix cache.
 const BlockTokens = 16
 
-// vocabulary bounds the token ids that engines generate.
+// vocabulary is the number of distinct token ids.
 const vocabulary = 50000
 
-// Tokens returns the token ids of a text: one for each word.
+// Tokens returns the token ids of a text, one per word.
 func Tokens(text string) []int {
 	words := strings.Fields(text)
 	ids := make([]int, len(words))
@@ -26,7 +26,7 @@
 	return ids
 }
 
-// fold carries the running hash of a context on by one token.
+// fold extends the running hash of a context by one token.
 func fold(state uint64, token int) uint64 {
 	x := state ^ (uint64(token) + 0x9e3779b97f4a7c15 + state<<6 + state>>2)
 	x ^= x >> 33
@@ -34,7 +34,7 @@
 	return x ^ x>>29
 }
 
-// contextHash is the hash of a whole context.
+// contextHash returns the hash of a whole context.
 func contextHash(tokens []int) uint64 {
 	var h uint64
 	for _, t := range tokens {
@@ -43,10 +43,10 @@
 	return h
 }
 
-// next returns the token that every engine generates after a context.
+// next returns the token that follows a context; it is the same on every engine.
 func next(state uint64) int { return int(state>>7) % vocabulary }
 
-// Want returns the n tokens that a whole answer to the prompt consists of.
+// Want returns the n tokens of the complete response to a prompt.
 func Want(prompt string, n int) []int {
 	state := contextHash(Tokens(prompt))
 	out := make([]int, n)
@@ -57,28 +57,28 @@
 	return out
 }
 
-// Tally is what the endpoints have counted.
+// Tally holds the counters of a Ledger.
 type Tally struct {
 	Generated   int // tokens decoded
 	Prefilled   int // prompt tokens computed
 	Cached      int // prompt tokens found in a cache
-	Recomputed  int // tokens computed whose block had been computed before
-	Repeated    int // of these, by requests that had begun before elsewhere
-	RanTwice    int // unrepeatable requests that began more than once
-	Began       int // requests begun
-	StaleOrders int // orders refused for their epoch
+	Recomputed  int // tokens in blocks that had been computed before
+	Repeated    int // those of Recomputed whose request had already begun elsewhere
+	RanTwice    int // non-idempotent requests that began more than once
+	Began       int // requests that began execution
+	StaleOrders int // orders with an outdated epoch
 	Orders      int
-	LeavingMax  time.Duration // from a notice to the last new work after it
+	LeavingMax  time.Duration // longest time from a notice to a request that arrived after it
 }
 
-// Ledger is shared by all endpoints of a trial. It counts; nothing under test
+// Ledger counts what all endpoints of a trial do. The code under test never
 // reads it.
 type Ledger struct {
 	mu       sync.Mutex
 	t        Tally
 	begun    map[string]int
 	computed map[uint64]bool
-	served   map[string]int // engine to requests begun
+	served   map[string]int // engine to the number of requests begun
 }
 
 // NewLedger returns an empty ledger.
@@ -86,21 +86,21 @@
 	return &Ledger{begun: make(map[string]int), served: make(map[string]int), computed: make(map[uint64]bool)}
 }
 
-// Tally returns the counts so far.
+// Tally returns the current counters.
 func (l *Ledger) Tally() Tally {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.t
 }
 
-// Served returns how many requests an endpoint has begun.
+// Served returns the number of requests that an endpoint has begun.
 func (l *Ledger) Served(name string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.served[name]
 }
 
-// Begun returns how many endpoints began the caller's request.
+// Begun returns how often the request with this id began on any endpoint.
 func (l *Ledger) Begun(id string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -133,7 +133,7 @@
 	}
 }
 
-// block counts a block of tokens as computed for a request.
+// block counts a block of tokens that was computed for a request.
 func (l *Ledger) block(id string, hash uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/standin/link.go
+++ b/internal/standin/link.go
@@ -12,14 +12,14 @@
 	"streambend.example/seam"
 )
 
-// linkPiece is how much passes a link at a time, so that connections share it.
+// linkPiece is the chunk size in bytes in which connections share a link.
 const linkPiece = 16 << 10
 
-// linkPatience is how long a connection over a cut link is tried.
+// linkPatience is the timeout of a dial over a cut link.
 const linkPatience = 400 * time.Millisecond
 
-// Link is a box's own link to a network: what the box sends passes it at a rate,
-// piece after piece of all its connections in turn, and so does what it takes in.
+// Link simulates the network link of a box. It limits the rate of each direction, and the
+// connections of the box take turns chunk by chunk.
 type Link struct {
 	out, in lane
 
@@ -27,11 +27,11 @@
 	cut []string
 }
 
-// NewLink returns a link of some bytes a second each way.
+// NewLink returns a link with a rate in bytes per second for each direction.
 func NewLink(rate float64) *Link { return &Link{out: lane{rate: rate}, in: lane{rate: rate}} }
 
-// Cut silences the connections to and from addresses with these endings, those
-// that are open too: they stay open, and nothing more comes over them.
+// Cut drops all traffic to and from addresses with one of these suffixes. Connections that are
+// open stay open but carry no more data.
 func (l *Link) Cut(endings ...string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -49,18 +49,18 @@
 	return false
 }
 
-// Over returns the network as the box behind the link has it.
+// Over returns n as seen from behind the link.
 func (l *Link) Over(n seam.Network) seam.Network { return linked{n, l} }
 
-// lane is one way of a link.
+// lane is one direction of a link.
 type lane struct {
 	rate float64
 
 	mu   sync.Mutex
-	free time.Time // when what was let in so far will have passed
+	free time.Time // when the bytes accepted so far will have been sent
 }
 
-// pass waits until so many bytes have passed or their connection is closed.
+// pass waits until n bytes have been sent or their connection is closed.
 func (l *lane) pass(n int, closed chan struct{}) {
 	l.mu.Lock()
 	now := time.Now()
@@ -73,8 +73,8 @@
 	if wait <= 0 {
 		return
 	}
-	// A timer's own channel crashes the race detector in virtual time (go1.26.8, in
-	// runtime.(*timer).maybeRunChan).
+	// time.AfterFunc, since the channel of a time.Timer crashes the race detector in virtual time
+	// (go1.26.8, in runtime.(*timer).maybeRunChan).
 	passed := make(chan struct{})
 	t := time.AfterFunc(wait, func() { close(passed) })
 	defer t.Stop()
--- a/internal/standin/memory.go
+++ b/internal/standin/memory.go
@@ -13,31 +13,31 @@
 	"streambend.example/seam"
 )
 
-// errFault is what a faulty call answers.
-var errFault = errors.New("standin: fault")
+// errFault is the error of a call that fails by an injected fault.
+var errFault = errors.New("standin: injected fault")
 
-// Fault says how a store misbehaves. The zero value is a healthy store.
+// Fault selects the faults that a store injects. The zero value injects none.
 type Fault struct {
 	Down      bool          // calls fail before any effect
-	Delay     time.Duration // each call waits this long
-	LoseEvery int           // every n-th write takes effect and its answer is lost
+	Delay     time.Duration // latency added to each call
+	LoseEvery int           // every n-th write takes effect but returns an error
 }
 
-// Faults is a switchable Fault.
+// Faults holds a Fault that can be replaced at any time.
 type Faults struct {
 	mu     sync.Mutex
 	f      Fault
 	writes int
 }
 
-// Set replaces the fault in force.
+// Set replaces the injected faults.
 func (s *Faults) Set(f Fault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.f = f
 }
 
-// begin waits the delay and reports whether the call may have an effect.
+// begin waits for the delay and returns an error if the call must fail without an effect.
 func (s *Faults) begin(ctx context.Context) error {
 	s.mu.Lock()
 	f := s.f
@@ -55,7 +55,7 @@
 	return nil
 }
 
-// loses reports whether the answer of the write just done is lost.
+// loses counts a write and reports whether its response is lost.
 func (s *Faults) loses() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -63,7 +63,7 @@
 	return s.f.LoseEvery > 0 && s.writes%s.f.LoseEvery == 0
 }
 
-// Memory is a seam.Table held in memory.
+// Memory is an in-memory seam.Table.
 type Memory struct {
 	Faults Faults
 
@@ -73,8 +73,8 @@
 	units  Units
 }
 
-// Units counts what the table would bill: one for an item read, one for an
-// item written alone, two for an item written in a transaction of several.
+// Units counts the capacity units that the table would bill: one for each item read, one for an
+// item written alone, two for each item written in a transaction of several.
 type Units struct {
 	Reads  int
 	Writes int
@@ -86,7 +86,7 @@
 	return &Memory{items: make(map[seam.Key]seam.Item), nonces: make(map[string]bool)}
 }
 
-// Units returns what has been billed so far.
+// Units returns the capacity units used so far.
 func (m *Memory) Units() Units {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -173,7 +173,7 @@
 	return nil
 }
 
-// MemoryObjects is a seam.Objects held in memory.
+// MemoryObjects is an in-memory seam.Objects.
 type MemoryObjects struct {
 	Faults Faults
 
--- a/internal/standin/net.go
+++ b/internal/standin/net.go
@@ -12,7 +12,7 @@
 	"github.com/pkg/errors"
 )
 
-// Net is a network in memory, so that tests can run in virtual time.
+// Net is an in-memory network, so that tests can run in virtual time.
 type Net struct {
 	mu    sync.Mutex
 	last  int
@@ -22,7 +22,7 @@
 // NewNet returns a network without listeners.
 func NewNet() *Net { return &Net{ports: make(map[string]*pipeListener)} }
 
-// pipeListener hands out one end of each pipe that is dialled.
+// pipeListener accepts one end of each pipe that Dial creates.
 type pipeListener struct {
 	net   *Net
 	addr  pipeAddr
@@ -36,7 +36,7 @@
 func (pipeAddr) Network() string  { return "tcp" }
 func (a pipeAddr) String() string { return string(a) }
 
-// Listen implements seam.Network. An address whose port is 0 gets one of its own.
+// Listen implements seam.Network. Port 0 selects an unused port.
 func (n *Net) Listen(address string) (net.Listener, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -45,7 +45,7 @@
 		address = fmt.Sprintf("127.0.0.1:%d", 1024+n.last)
 	}
 	if n.ports[address] != nil {
-		return nil, errors.Errorf("standin: %s is taken", address)
+		return nil, errors.Errorf("standin: address %s already in use", address)
 	}
 	l := &pipeListener{net: n, addr: pipeAddr(address), conns: make(chan net.Conn), done: make(chan struct{})}
 	n.ports[string(l.addr)] = l
@@ -58,14 +58,14 @@
 	l := n.ports[address]
 	n.mu.Unlock()
 	if l == nil {
-		return nil, errors.Wrapf(syscall.ECONNREFUSED, "standin: %s", address)
+		return nil, errors.Wrapf(syscall.ECONNREFUSED, "standin: dial %s", address)
 	}
 	here, there := net.Pipe()
 	select {
 	case l.conns <- there:
 		return here, nil
 	case <-l.done:
-		return nil, errors.Wrapf(syscall.ECONNREFUSED, "standin: %s", address)
+		return nil, errors.Wrapf(syscall.ECONNREFUSED, "standin: dial %s", address)
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
--- a/internal/standin/plain.go
+++ b/internal/standin/plain.go
@@ -14,7 +14,7 @@
 	"streambend.example/seam"
 )
 
-// Plain is a plain service, such as the portal or the player.
+// Plain is a service without streaming responses, such as the portal or the player.
 type Plain struct {
 	work   time.Duration
 	ledger *Ledger
@@ -27,7 +27,7 @@
 	fault   EngineFault
 }
 
-// NewPlain starts a plain service whose calls take the given time.
+// NewPlain starts a plain service whose requests take the given time.
 func NewPlain(n seam.Network, work time.Duration, ledger *Ledger) *Plain {
 	p := &Plain{work: work, ledger: ledger}
 	mux := http.NewServeMux()
@@ -40,17 +40,17 @@
 // Address returns host:port.
 func (p *Plain) Address() string { return p.addr }
 
-// Notice marks the service as announced to leave.
+// Notice records that a reclaim of the service's box has been announced.
 func (p *Plain) Notice(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.noticed = now
 }
 
-// Kill ends the service and cuts its connections.
+// Kill stops the service and closes its connections.
 func (p *Plain) Kill() { p.server.Close() }
 
-// SetFault replaces the fault in force.
+// SetFault replaces the injected faults.
 func (p *Plain) SetFault(f EngineFault) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/standin/rows.go
+++ b/internal/standin/rows.go
@@ -16,20 +16,20 @@
 	"streambend.example/seam"
 )
 
-// RowsFault is what the rows' store does wrong.
+// RowsFault selects the faults that Rows injects.
 type RowsFault struct {
-	Busy   bool                     // answers 503 to all
-	Silent bool                     // answers nothing
-	Lost   bool                     // does what it is asked and answers nothing
-	Delay  time.Duration            // before each answer
-	Away   map[string]bool          // callers, by the word in their X-Daemon header, that get 503
-	Late   map[string]time.Duration // callers whose answers come so long after what they do
-	Mute   string                   // a table about which some callers are answered nothing
-	Muted  map[string]bool          // those callers
+	Busy   bool                     // responds to every request with 503
+	Silent bool                     // never responds
+	Lost   bool                     // executes transactions but never responds to them
+	Delay  time.Duration            // added before each request is executed
+	Away   map[string]bool          // callers, by their X-Daemon header, that get 503
+	Late   map[string]time.Duration // delay of the response after the execution, by caller
+	Mute   string                   // table whose requests get no response from the callers in Muted
+	Muted  map[string]bool          // callers to which Mute applies
 }
 
-// Rows is a stand-in of the users' platform's transactional store, with the few
-// calls that the adapter makes.
+// Rows is a stand-in for the transactional store of the users' platform. It implements the calls
+// that the adapter makes.
 type Rows struct {
 	server *http.Server
 	addr   string
@@ -39,7 +39,7 @@
 	fault   RowsFault
 	version int64
 	rows    map[rowKey]storedRow
-	forgot  int64 // changes up to this version are forgotten
+	forgot  int64 // the change feed holds no changes up to this version
 	wake    chan struct{}
 	calls   map[string]int
 }
@@ -74,7 +74,7 @@
 	Remove []rowJSON `json:"remove"`
 }
 
-// NewRows starts an empty store at an address.
+// NewRows starts a server for an empty store at an address.
 func NewRows(n seam.Network, address string) (*Rows, error) {
 	s := &Rows{began: time.Now(), version: 1, rows: make(map[rowKey]storedRow), wake: make(chan struct{}), calls: make(map[string]int)}
 	mux := http.NewServeMux()
@@ -89,30 +89,30 @@
 // Address returns host:port.
 func (s *Rows) Address() string { return s.addr }
 
-// Close ends the store.
+// Close stops the server.
 func (s *Rows) Close() { s.server.Close() }
 
-// SetFault replaces the fault in force.
+// SetFault replaces the injected faults.
 func (s *Rows) SetFault(f RowsFault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.fault = f
-	s.notify() // questions that are held are answered by the new fault
+	s.notify() // long polls in progress see the new faults
 }
 
-// turnsAway reports whether a caller gets 503; the caller holds the lock.
+// turnsAway reports whether a request gets 503; the caller holds the lock.
 func (s *Rows) turnsAway(r *http.Request) bool {
 	return s.fault.Busy || s.fault.Away[r.Header.Get(daemonHeader)]
 }
 
-// Calls returns how often a path was called.
+// Calls returns the number of requests for a path.
 func (s *Rows) Calls(path string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.calls[path]
 }
 
-// Put writes a row as the operator or an endpoint does.
+// Put writes a row without a condition, as an operator or an endpoint does.
 func (s *Rows) Put(table, part, key string, value []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -128,7 +128,7 @@
 	s.set(rowKey{table, part, key}, storedRow{version: s.version, removed: true})
 }
 
-// Forget drops the history of changes.
+// Forget truncates the change feed, so that feed requests from an earlier version get 410.
 func (s *Rows) Forget() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -141,7 +141,7 @@
 	s.notify()
 }
 
-// Value returns a row's value, or nil.
+// Value returns the value of a row, or nil if it is absent.
 func (s *Rows) Value(table, part, key string) []byte {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -158,7 +158,7 @@
 	s.wake = make(chan struct{})
 }
 
-// faulty wraps a handler with the faults.
+// faulty wraps a handler with the injected faults.
 func (s *Rows) faulty(h func(w http.ResponseWriter, r *http.Request) (int, any)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		s.mu.Lock()
@@ -172,7 +172,7 @@
 		}
 		muted := f.Mute != "" && r.URL.Query().Get("table") == f.Mute && f.Muted[r.Header.Get(daemonHeader)]
 		if f.Silent || muted {
-			io.Copy(io.Discard, r.Body) // or the server does not see the caller leave
+			io.Copy(io.Discard, r.Body) // otherwise the server does not detect that the caller disconnects
 			<-r.Context().Done()
 			return
 		}
@@ -188,7 +188,7 @@
 	}
 }
 
-// daemonHeader names the daemon that calls, where a test's network adds it.
+// daemonHeader identifies the calling daemon; the network of a test adds it.
 const daemonHeader = "X-Daemon"
 
 func (s *Rows) page(rows []rowJSON) pageJSON {
@@ -219,11 +219,11 @@
 	q := r.URL.Query()
 	after, _ := strconv.ParseInt(q.Get("after_revision"), 10, 64) // the adapter always sends a number
 	wait, _ := strconv.Atoi(q.Get("wait_ms"))
-	// Not a timer's own channel, as in lane.pass: it crashes the race detector in virtual
-	// time.
+	// time.AfterFunc as in lane.pass: the channel of a time.Timer crashes the race detector in
+	// virtual time.
 	over := make(chan struct{})
 	defer time.AfterFunc(max(time.Duration(wait)*time.Millisecond, clock.LeastTimer), func() { close(over) }).Stop()
-	last := false // the wait is over
+	last := false // the wait has expired
 	for {
 		s.mu.Lock()
 		wake := s.wake
@@ -247,15 +247,15 @@
 		select {
 		case <-wake:
 		case <-over:
-			last = true // the answer is as of now
+			last = true // respond with the current state
 		case <-r.Context().Done():
 			return http.StatusOK, p
 		}
 	}
 }
 
-// changes returns the rows of a table that changed after a version, in order;
-// the caller holds the lock.
+// changes returns the rows of a table that changed after a version, in order of
+// version; the caller holds the lock.
 func (s *Rows) changes(table string, after int64) []rowJSON {
 	var out []rowJSON
 	for k, v := range s.rows {
--- a/internal/standin/runner.go
+++ b/internal/standin/runner.go
@@ -16,46 +16,46 @@
 	"streambend.example/seam"
 )
 
-// RunnerFault is what a Runner does wrong.
+// RunnerFault selects the faults that a Runner injects.
 type RunnerFault struct {
-	NotRun    bool   // turns all requests away
-	Fail      bool   // runs them and answers 500
-	OtherID   bool   // answers with another request's id
-	CutAfter  int    // breaks a stream off after so many events
-	CutEvent  bool   // within the next one
-	Mute      bool   // takes a request and answers nothing
-	NoLength  bool   // answers without a length, and closes the connection
-	CutAnswer bool   // breaks a whole answer off
-	Lie       bool   // runs one request in ten and says that it did not
-	FailEach  int    // runs each so many-th request and answers 500; 0 for none
-	Slower    int    // takes so many times as long; 0 for as usual
-	Limit     string // names this in all answers as the requests a second that it takes; empty for none
-	Leaving   string // names this in all answers as whether it leaves; empty for nothing
-	Rest      string // with NotRun, asks each daemon to send nothing for so many seconds; empty for nothing
-	CrashOn   string // ends, with all that it runs, when it begins a request whose body holds this; empty for never
+	NotRun    bool   // rejects all requests without running them
+	Fail      bool   // runs requests and responds with 500
+	OtherID   bool   // responds with the id of another request
+	CutAfter  int    // cuts a stream after this many events
+	CutEvent  bool   // with CutAfter, cuts the stream within the next event
+	Mute      bool   // accepts requests and never responds
+	NoLength  bool   // responds without a content length and closes the connection
+	CutAnswer bool   // cuts a response that is not a stream
+	Lie       bool   // runs one request in ten and reports it as not executed
+	FailEach  int    // responds with 500 to every n-th request that it runs; 0 for none
+	Slower    int    // factor by which requests take longer; 0 means 1
+	Limit     string // LimitHeader of all responses: the requests per second that it accepts; empty for none
+	Leaving   string // LeavingHeader of all responses; empty for none
+	Rest      string // with NotRun, the Retry-After header in seconds; empty for none
+	CrashOn   string // crashes on a request whose body contains this string; empty for never
 }
 
-// Ran is a request that a Runner has run.
+// Ran is a request that a Runner has executed.
 type Ran struct {
 	ID       string
 	Method   string
 	Target   string
 	Body     string
 	Header   http.Header
-	Left     bool // the caller left while it ran
+	Left     bool // the caller disconnected during execution
 	Instance string
 	At       time.Time
 }
 
-// Runner is a stand-in of the users' platform's endpoints: a plain service, or
-// an engine that answers with a stream of numbered events.
+// Runner is a stand-in for an endpoint of the users' platform: a plain service, or
+// an engine that responds with a stream of numbered events.
 type Runner struct {
 	Instance string
-	Born     int64          // Unix milliseconds of its start; 0 for one that does not say
-	Version  string         // of its software; empty for v1
-	Events   int            // of a stream; 0 for a plain service
-	Pace     time.Duration  // between two events, or of a plain call
-	ByPath   map[string]int // events by the path's beginning, where they differ; nil for Events alone
+	Born     int64          // start time in Unix milliseconds; 0 to leave it out of the row
+	Version  string         // software version; empty for v1
+	Events   int            // number of events in a stream; 0 for a plain service
+	Pace     time.Duration  // time between two events, or duration of a plain request
+	ByPath   map[string]int // number of events by path prefix, overrides Events
 
 	server *http.Server
 	addr   string
@@ -66,7 +66,7 @@
 	came  []Arrival
 }
 
-// NewRunner starts a runner at an address.
+// NewRunner starts a server for a runner at an address.
 func NewRunner(n seam.Network, address, instance string, events int, pace time.Duration) (*Runner, error) {
 	r := &Runner{Instance: instance, Events: events, Pace: pace}
 	var err error
@@ -77,29 +77,29 @@
 // Address returns host:port.
 func (r *Runner) Address() string { return r.addr }
 
-// Close ends the runner and cuts its connections.
+// Close stops the runner and closes its connections.
 func (r *Runner) Close() { r.server.Close() }
 
-// SetFault replaces the fault in force.
+// SetFault replaces the injected faults.
 func (r *Runner) SetFault(f RunnerFault) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.fault = f
 }
 
-// Ran returns the requests that were run.
+// Ran returns the requests that were executed.
 func (r *Runner) Ran() []Ran {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return append([]Ran(nil), r.ran...)
 }
 
-// Entry returns the runner's row in the store.
+// Entry returns the runner's row in the store of endpoints.
 func (r *Runner) Entry(service, zone, state string) []byte {
 	return r.EntryAt(r.addr, service, zone, state)
 }
 
-// EntryAt is Entry for a runner that is reached at another address.
+// EntryAt is Entry for a runner that is reachable at another address.
 func (r *Runner) EntryAt(address, service, zone, state string) []byte {
 	e := map[string]any{
 		"service": service, "address": address, "zone": zone, "state": state, "slots": 8, "sequence": 1,
@@ -115,20 +115,20 @@
 	return b
 }
 
-// Arrival is a request that has reached a Runner, whether it ran it or not.
+// Arrival is a request that a Runner has received, executed or not.
 type Arrival struct {
 	ID string
 	At time.Time
 }
 
-// Arrivals returns what has reached the runner.
+// Arrivals returns the requests that the runner has received.
 func (r *Runner) Arrivals() []Arrival {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return append([]Arrival(nil), r.came...)
 }
 
-// Came returns when requests reached the runner.
+// Came returns the arrival times of the received requests.
 func (r *Runner) Came() (out []time.Time) {
 	for _, a := range r.Arrivals() {
 		out = append(out, a.At)
@@ -136,8 +136,8 @@
 	return out
 }
 
-// Where a runner names the requests a second that it takes, that it leaves, and for how many seconds
-// it wants nothing.
+// Response headers by which a runner announces its rate limit in requests per second, that it is
+// leaving, and for how many seconds callers should send nothing.
 const (
 	LimitHeader   = "Server-Limit"
 	LeavingHeader = "Server-Leaving"
@@ -155,7 +155,7 @@
 	r.came = append(r.came, Arrival{id, time.Now()})
 	r.mu.Unlock()
 	h := w.Header()
-	h["Date"] = nil // so that a test sees what the system adds
+	h["Date"] = nil // so that a test sees only the headers that the code under test adds
 	h.Set("Streambend-Request-Id", id)
 	h.Set("Streambend-Server-Load", "1,0,8")
 	if f.Limit != "" {
@@ -206,7 +206,7 @@
 	r.whole(w, f, "answer to "+id)
 }
 
-// paced returns how long something takes that takes a time as usual.
+// paced returns a duration scaled by Slower.
 func (f RunnerFault) paced(usual time.Duration) time.Duration {
 	return time.Duration(max(f.Slower, 1)) * usual
 }
@@ -246,7 +246,7 @@
 	}
 }
 
-// eventsOf returns how many events the answer to a path has.
+// eventsOf returns the number of events in the response to a path.
 func (r *Runner) eventsOf(path string) int {
 	for prefix, n := range r.ByPath {
 		if strings.HasPrefix(path, prefix) {
--- a/internal/standin/serve.go
+++ b/internal/standin/serve.go
@@ -13,16 +13,16 @@
 	"time"
 )
 
-// completionBody is what an engine reads of a completion or chat request.
+// completionBody holds the fields of a completion or chat request that an engine reads.
 type completionBody struct {
 	Model          string
 	Prompt         json.RawMessage
 	Messages       []chatMessage
 	MaxTokens      int    `json:"max_tokens"`
-	User           string // the caller's own name for the request
+	User           string // the caller's request id
 	Priority       int
 	PromptCacheKey string `json:"prompt_cache_key"`
-	Unrepeatable   bool   `json:"x_unrepeatable"` // set by the trial's callers, for the ledger alone
+	Unrepeatable   bool   `json:"x_unrepeatable"` // set by the trial's callers; only the ledger uses it
 }
 
 type chatMessage struct {
@@ -59,7 +59,7 @@
 	CachedTokens int `json:"cached_tokens"`
 }
 
-// promptTokens reads a prompt given as text, as token ids or as messages.
+// promptTokens returns the token ids of a prompt given as text, token ids or messages.
 func (b *completionBody) promptTokens() []int {
 	if len(b.Messages) > 0 {
 		return Tokens(chatText(b.Messages))
@@ -79,12 +79,12 @@
 	return json.Unmarshal(b.Prompt, &ids) == nil && len(ids) > 0
 }
 
-// ChatPrompt is the text that a chat of one message is rendered to.
+// ChatPrompt returns the prompt text of a chat with a single message.
 func ChatPrompt(role, content string) string {
 	return chatText([]chatMessage{{Role: role, Content: content}})
 }
 
-// chatText is the text that a chat's messages are rendered to.
+// chatText renders the messages of a chat as prompt text.
 func chatText(ms []chatMessage) string {
 	var sb strings.Builder
 	for _, m := range ms {
@@ -121,7 +121,7 @@
 	e.generate(r.Context(), w, r, &body, f)
 }
 
-// generate computes the prompt and streams the answer.
+// generate prefills the prompt and streams the response.
 func (e *Engine) generate(ctx context.Context, w http.ResponseWriter, r *http.Request, body *completionBody, f EngineFault) {
 	tokens := body.promptTokens()
 	state, cached, blocks, ok := e.compute(ctx, body, tokens)
@@ -174,7 +174,7 @@
 	out.finish(stop, usage{PromptTokens: len(tokens), CompletionTokens: n, Details: usageDetails{cached}})
 }
 
-// compute prefills what the cache does not hold and returns the state.
+// compute prefills the blocks that are not cached and returns the hash of the context.
 func (e *Engine) compute(ctx context.Context, body *completionBody, tokens []int) (state uint64, cached int, blocks []uint64, ok bool) {
 	hit := true
 	var fresh []uint64
@@ -208,7 +208,7 @@
 	for _, h := range fresh {
 		e.ledger.block(body.User, h)
 	}
-	// The head of a prompt is worth more than its tail: it is used last.
+	// Blocks are touched from the last to the first, so that the LRU cache evicts the prefix last.
 	for _, h := range slices.Backward(blocks) {
 		e.store(h, body.PromptCacheKey)
 	}
@@ -216,11 +216,11 @@
 	return state, cached, blocks, true
 }
 
-// has reports whether a block is cached or held by a running request; the
+// has reports whether a block is cached or used by a running request; the
 // caller holds the lock.
 func (e *Engine) has(h uint64) bool { return e.held[h] > 0 || e.cache.Contains(h) }
 
-// hold counts the running requests that need the blocks.
+// hold changes the reference counts of blocks that running requests use.
 func (e *Engine) hold(blocks []uint64, by int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -231,15 +231,15 @@
 	}
 }
 
-// store keeps a block in the prefix cache.
+// store adds a block to the prefix cache.
 func (e *Engine) store(h uint64, key string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.cache.Add(h, key)
 }
 
-// publish appends the event that a block of a cache key was removed; every
-// seventh is lost. The caller holds the lock.
+// publish appends an eviction event for a cache key. It skips every seventh sequence
+// number, as if that event were lost. The caller holds the lock.
 func (e *Engine) publish(key string) {
 	n := int64(1)
 	if len(e.events) > 0 {
@@ -254,7 +254,7 @@
 	}
 }
 
-// chunkWriter writes the answer as server-sent events.
+// chunkWriter writes a response as server-sent events.
 type chunkWriter struct {
 	w    http.ResponseWriter
 	fl   http.Flusher
--- a/internal/standin/store.go
+++ b/internal/standin/store.go
@@ -15,14 +15,14 @@
 	"streambend.example/seam"
 )
 
-// Store answers the few DynamoDB and S3 requests that the platform adapters
-// send, over a Memory and a MemoryObjects.
+// Store serves the DynamoDB and S3 requests that the platform adapters send,
+// backed by a Memory and a MemoryObjects.
 type Store struct {
 	Table   *Memory
 	Objects *MemoryObjects
 }
 
-// NewStore returns a healthy, empty store.
+// NewStore returns an empty store without faults.
 func NewStore() *Store { return &Store{Table: NewMemory(), Objects: &MemoryObjects{}} }
 
 type dynamoValue struct {
@@ -74,7 +74,7 @@
 	Type string `json:"__type"`
 }
 
-// ServeHTTP answers both protocols: DynamoDB by its target header, S3 else.
+// ServeHTTP serves both protocols: DynamoDB if the request has its target header, otherwise S3.
 func (s *Store) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	target := r.Header.Get("X-Amz-Target")
 	if target == "" {
@@ -114,7 +114,7 @@
 		return dynamoAnswer{Item: &d}, err
 	case "Query":
 		if req.KeyConditionExpression != cloud.CondQuery {
-			return dynamoAnswer{}, errors.Errorf("standin: query %q", req.KeyConditionExpression)
+			return dynamoAnswer{}, errors.Errorf("standin: unsupported query %q", req.KeyConditionExpression)
 		}
 		v := req.ExpressionAttributeValues
 		its, err := s.Table.Query(r.Context(), v.PK.S, v.After.S, req.Limit)
@@ -130,7 +130,7 @@
 		}
 		return dynamoAnswer{}, s.Table.Write(r.Context(), req.ClientRequestToken, ws...)
 	}
-	return dynamoAnswer{}, errors.Errorf("standin: operation %q", op)
+	return dynamoAnswer{}, errors.Errorf("standin: unsupported operation %q", op)
 }
 
 func toDynamo(it seam.Item) dynamoItem {
@@ -149,7 +149,7 @@
 			c, del = ti.Delete, true
 		}
 		if c == nil {
-			return nil, errors.New("standin: transaction item of another kind")
+			return nil, errors.New("standin: transaction item is neither a put nor a delete")
 		}
 		w := seam.Write{Delete: del, Value: c.Item.Val.B}
 		w.Key = seam.Key{Part: c.Item.PK.S, Sort: c.Item.SK.S}
@@ -161,7 +161,7 @@
 		case cloud.CondRev:
 			w.Rev, _ = strconv.ParseInt(c.ExpressionAttributeValues.Rev.N, 10, 64)
 		default:
-			return nil, errors.Errorf("standin: condition %q", c.ConditionExpression)
+			return nil, errors.Errorf("standin: unsupported condition %q", c.ConditionExpression)
 		}
 		ws = append(ws, w)
 	}
@@ -184,7 +184,7 @@
 			err = s.Objects.Put(r.Context(), name, b)
 		}
 	default:
-		err = errors.New("standin: method")
+		err = errors.New("standin: unsupported method")
 	}
 	switch {
 	case err == nil:
