--- a/internal/trial/caller.go
+++ b/internal/trial/caller.go
@@ -22,13 +22,13 @@
 	"streambend.example/process"
 )
 
-// callerRequest is one request of a caller.
+// callerRequest is a caller's request with the response that it expects.
 type callerRequest struct {
 	job
 	id     string
-	prompt string // as the engine renders it
+	prompt string // the prompt text as the engine renders it
 	body   []byte
-	want   string // the whole answer
+	want   string // the complete response
 }
 
 type completionBody struct {
@@ -38,7 +38,7 @@
 	MaxTokens    int       `json:"max_tokens"`
 	Stream       bool      `json:"stream"`
 	User         string    `json:"user"`
-	Unrepeatable bool      `json:"x_unrepeatable"` // for the ledger alone
+	Unrepeatable bool      `json:"x_unrepeatable"` // read by the stand-ins' ledger only
 }
 
 type message struct {
@@ -46,7 +46,7 @@
 	Content string `json:"content"`
 }
 
-// newRequest makes the n-th request of a job.
+// newRequest returns the n-th request of a job.
 func newRequest(j job, n int, rng *rand.Rand) *callerRequest {
 	r := &callerRequest{job: j, id: fmt.Sprintf("%s-%s-%d", j.partner, j.route, n)}
 	if j.tokens == 0 {
@@ -56,7 +56,7 @@
 	}
 	text := document(j.route, rng.IntN(j.documents), j.words)
 	if j.partner == podwave {
-		// All of Podwave's jobs read the same transcripts.
+		// All jobs of Podwave share the same transcripts.
 		text = document("episode", rng.IntN(j.documents), j.words)
 	}
 	text += fmt.Sprintf("task %s number %d", j.route, n)
@@ -71,7 +71,7 @@
 	return r
 }
 
-// render returns the text of tokens, as the engines write it.
+// render returns the text of tokens as the engines write it.
 func render(tokens []int) string {
 	var sb strings.Builder
 	for _, t := range tokens {
@@ -80,16 +80,16 @@
 	return sb.String()
 }
 
-// result is what a caller has seen of a request, over all its tries.
+// result is the outcome of a request as its caller sees it, over all attempts.
 type result struct {
 	r        *callerRequest
 	tries    int
 	whole    bool
-	wrong    bool // an answer was passed as whole and is not
-	refused  bool // the last word was "not run"
-	falsely  bool // a refusal as "not run" although it had begun
-	unknown  bool // the last word was that the outcome is unknown
-	cut      bool // a daemon's planned stop cut it off
+	wrong    bool // a response was delivered as complete but differs from the expected one
+	refused  bool // the last response was "not run"
+	falsely  bool // rejected as "not run" although an endpoint had begun it
+	unknown  bool // the last response was an unknown outcome
+	cut      bool // a daemon's planned stop cut the response
 	last     string
 	began    time.Time
 	first    time.Time
@@ -97,7 +97,7 @@
 	overhead time.Duration
 }
 
-// reply is what one try has brought.
+// reply is the outcome of one attempt.
 type reply struct {
 	text     string
 	whole    bool
@@ -110,20 +110,20 @@
 	overhead time.Duration
 }
 
-// A caller sends a request so often until it is answered, waits as long as it
-// is told in between, and at the most and at the least so long.
+// A caller makes at most callerTries attempts. Between them it waits for the Retry-After time,
+// at least callerPause and at most callerPatience.
 const (
 	callerTries    = 8
 	callerPause    = 20 * time.Millisecond
 	callerPatience = 5 * time.Second
 )
 
-// do sends a request as a sensible client does: it comes back with its key
-// when a connection breaks or the answer says that it has not run.
+// do sends a request as a well-behaved client does: it retries with the same idempotency key when
+// a connection breaks or the response states that the request has not run.
 func (w *world) do(ctx context.Context, r *callerRequest, b *balancer) *result {
 	res := &result{r: r, began: time.Now()}
 	text, events := "", 0
-	sent := false // an earlier try may have begun it
+	sent := false // an earlier attempt may have begun it
 	for res.tries < callerTries {
 		d := b.pick()
 		if d == nil {
@@ -158,8 +158,8 @@
 	return res
 }
 
-// patience returns how long the caller of a result will still wait; 0 for as
-// long as the route allows.
+// patience returns how long the caller will still wait for a result; 0 means
+// until the deadline of the route.
 func (w *world) patience(res *result) time.Duration {
 	if !w.opts.Hurry {
 		return 0
@@ -167,7 +167,7 @@
 	return max(3*res.r.target/2-time.Since(res.began), time.Millisecond)
 }
 
-// judge follows one reply up and reports whether it was the last.
+// judge records a reply in the result and reports whether it is final.
 func (w *world) judge(res *result, rep reply, text string, sent *bool) bool {
 	res.refused, res.unknown = false, false
 	res.last = fmt.Sprintf("%d %v", int(rep.code), rep.err)
@@ -195,7 +195,7 @@
 	return false
 }
 
-// send makes one try at one daemon.
+// send makes one attempt at one daemon.
 func (w *world) send(ctx context.Context, d *process.Daemon, r *callerRequest, after int, wait time.Duration) reply {
 	path, method := "/v1/completions", http.MethodPost
 	switch {
@@ -212,7 +212,7 @@
 	req.Header.Set("Authorization", "Bearer "+token("caller", r.partner, r.team))
 	req.Header.Set("Content-Type", "application/json")
 	req.Header.Set("X-Caller-Request", r.id)
-	req.Header.Set("X-Request-Id", r.id) // chance in routing is drawn from it
+	req.Header.Set("X-Request-Id", r.id) // seeds the random choices of routing
 	if r.tokens > 0 || r.unrepeatable {
 		req.Header.Set("Idempotency-Key", r.id)
 	}
--- a/internal/trial/compare.go
+++ b/internal/trial/compare.go
@@ -12,20 +12,20 @@
 	"streambend.example/version"
 )
 
-// Comparison holds one policy's trial beside its figures.
+// Comparison is the report of a trial with one policy.
 type Comparison struct {
 	Name   string  `json:"name"`
-	What   string  `json:"what"` // the situation
+	What   string  `json:"what"` // description of the situation
 	Report *Report `json:"report"`
 }
 
-// Bench holds all that "streambend bench" has measured.
+// Bench holds the results of "streambend bench".
 type Bench struct {
 	Trials    []Comparison `json:"trials"`
 	Placement []Outcome    `json:"placement"`
 }
 
-// situation is a setting in which policies are compared.
+// situation is a set of options under which policies are compared.
 type situation struct {
 	what     string
 	policies []string
@@ -49,7 +49,7 @@
 	}
 }
 
-// Compare runs our policy and the baselines on the same seed, one trial after
+// Compare runs the default policy and the baselines with the same seed, one trial after
 // the other.
 func Compare(ctx context.Context, o Options, hours int, logs, progress io.Writer) (*Bench, error) {
 	b := &Bench{}
@@ -74,7 +74,7 @@
 	return b, nil
 }
 
-// Print writes the tables for a person.
+// Print writes human-readable tables.
 func (b *Bench) Print(w io.Writer) {
 	t := tabwriter.NewWriter(w, 2, 8, 2, ' ', 0)
 	what := ""
--- a/internal/trial/control_test.go
+++ b/internal/trial/control_test.go
@@ -15,8 +15,8 @@
 	"streambend.example/seam"
 )
 
-// countingNet counts what crosses the connections that are dialled over it, in
-// both directions.
+// countingNet counts dials, and the bytes in both directions on the dialled
+// connections.
 type countingNet struct {
 	seam.TCP
 	bytes atomic.Int64
@@ -55,9 +55,9 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// BenchmarkControl runs 9 idle daemons before 35 idle endpoints with the
-// ordinary timing and reports what each daemon spends: bytes on all its
-// connections, and the whole process's time, stand-ins included, over 9.
+// BenchmarkControl measures the idle cost of the control plane with 9 daemons, 35 endpoints and the
+// default timing. Per daemon it reports the bytes on all connections and the CPU time; the latter is
+// that of the whole process, stand-ins included, divided by 9.
 func BenchmarkControl(b *testing.B) {
 	for b.Loop() {
 		n := &countingNet{}
--- a/internal/trial/doc.go
+++ b/internal/trial/doc.go
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: MIT
 
-// Package trial runs daemons among the stand-ins, sends them the mixed load of
-// both partners, makes things fail, and counts what the callers and the
-// endpoints have seen. It serves "streambend try" and "streambend bench".
+// Package trial is a system test: it runs daemons against the stand-ins, sends
+// them the mixed load of both partners, injects faults, and compares what the
+// callers and the endpoints observe. "streambend try" and "streambend bench" use it.
 //
 //	report, err := trial.Run(ctx, trial.Options{Seed: 1, Fault: "zone-reclaim"})
-//	report.Broken() // the promises that did not hold
+//	report.Broken() // the guarantees that did not hold
 package trial
--- a/internal/trial/events.go
+++ b/internal/trial/events.go
@@ -12,7 +12,7 @@
 	"streambend.example/version"
 )
 
-// The times from a reclaim's notice to the end of the box.
+// Notice periods of a reclaim: from the notice to the termination of the box.
 const (
 	noticeTime = 2 * time.Second
 	slowNotice = 8 * time.Second
@@ -28,7 +28,7 @@
 	return out
 }
 
-// reclaim gives notice to all reclaimable boxes of the zones.
+// reclaim gives noticeTime of notice to all reclaimable boxes of the zones.
 func (t *trial) reclaim(zones ...string) { t.reclaimIn(noticeTime, zones...) }
 
 func (t *trial) reclaimIn(notice time.Duration, zones ...string) {
@@ -41,16 +41,16 @@
 	}
 }
 
-// changeTries is how often an operator asks for a change again while the store
-// is down, with a pause of changePause.
+// An operator retries a change up to changeTries times, changePause apart, while the
+// store is down.
 const (
 	changeTries = 100
 	changePause = 100 * time.Millisecond
 )
 
-// change confirms a changed intent and measures until it is in force at all
-// daemons: from the moment at which the first one shows it, for it is accepted
-// then, however long the store took to say so.
+// change confirms a changed intent and measures how long it takes until all daemons apply it. The
+// time starts when the first daemon shows the change, because it is accepted by then; the response
+// of a slow store may come later.
 func (t *trial) change(ctx context.Context) {
 	s := scaled(t.opts.Boxes)[0]
 	s.MinBoxes++
@@ -91,7 +91,7 @@
 	t.inForceAt(ds, seen, c.Accepted)
 }
 
-// inForceAt takes in when each daemon first showed a change.
+// inForceAt records the time from the first to the last daemon that showed a change.
 func (t *trial) inForceAt(ds []*process.Daemon, seen []time.Time, version int64) {
 	var first, last time.Time
 	missing := 0
@@ -127,7 +127,7 @@
 	return w.gone[d]
 }
 
-// plannedStop stops the last daemon as planned.
+// plannedStop stops the last daemon gracefully.
 func (t *trial) plannedStop(ctx context.Context) {
 	ds := t.live()
 	d := ds[len(ds)-1]
@@ -145,12 +145,12 @@
 	t.say("       %s has stopped", d.Self.Name)
 }
 
-// watchVersions counts how often a daemon's version goes back.
+// watchVersions counts how often the configuration version of a daemon decreases.
 func (t *trial) watchVersions(ctx context.Context) func() int {
 	var mu sync.Mutex
 	reverts := 0
 	if t.opts.DaemonNet != nil {
-		return func() int { return 0 } // nothing but the daemons shall be measured
+		return func() int { return 0 } // polling would distort the measurement of the daemons' traffic
 	}
 	seen := make(map[*process.Daemon]int64)
 	t.wg.Add(1)
--- a/internal/trial/faults.go
+++ b/internal/trial/faults.go
@@ -12,16 +12,16 @@
 	"streambend.example/seam"
 )
 
-// fault is something that goes wrong during a trial.
+// fault is a fault or another event that is injected during a trial.
 type fault struct {
 	name       string
-	at         float64 // share of the span at which it begins
-	mayUnknown bool    // an unrepeatable request may end with an unknown outcome
-	mayRefuse  bool    // requests may be refused as not run
+	at         float64 // start time as a fraction of the span
+	mayUnknown bool    // a non-idempotent request may end with an unknown outcome
+	mayRefuse  bool    // requests may be rejected as not run
 	run        func(ctx context.Context, t *trial)
 }
 
-// faults lists them in the order of the documentation.
+// faults returns all faults in the order of the documentation.
 func faults() []fault {
 	return []fault{
 		{name: "zone-reclaim"}, // part of every trial
@@ -39,11 +39,11 @@
 		{name: "handover", at: 0.4, mayUnknown: true, run: handover},
 		{name: "blind-replacement", at: 0.1, mayRefuse: true, run: blindReplacement},
 		{name: "late-joiner", at: 0.1, mayRefuse: true, run: lateJoiner},
-		{name: rolloutGood}, {name: rolloutBad}, // trials of their own, on the users' platform
+		{name: rolloutGood}, {name: rolloutBad}, // run by runRollout, on the users' platform
 	}
 }
 
-// Faults lists the names of the faults.
+// Faults returns the names of the faults.
 func Faults() []string {
 	var out []string
 	for _, f := range faults() {
@@ -52,8 +52,8 @@
 	return out
 }
 
-// ordinary lists the events that are no faults; those with a time are part of
-// every trial.
+// ordinary returns the events that are not faults; those with a start time are part
+// of every trial.
 func ordinary() []fault {
 	return []fault{
 		{name: "reclaim", at: 0.2, run: func(_ context.Context, t *trial) { t.reclaim("silom", "makati-a") }},
@@ -63,7 +63,7 @@
 	}
 }
 
-// Events lists the names that a Step takes.
+// Events returns the event names that are valid in a Step.
 func Events() []string {
 	var out []string
 	for _, f := range append(ordinary(), faults()...) {
@@ -74,14 +74,14 @@
 	return out
 }
 
-// Step is one event of a script.
+// Step schedules one event of a script.
 type Step struct {
-	At    float64 // share of the span
+	At    float64 // start time as a fraction of the span
 	Event string  // the name of a fault, or reclaim, change or planned-stop
 }
 
-// Script returns the steps of an ordinary trial and those of a fault, if its
-// name is not empty.
+// Script returns the steps of every trial, plus the step of the named fault unless the
+// name is empty.
 func Script(name string) []Step {
 	var out []Step
 	for _, f := range ordinary() {
@@ -106,7 +106,7 @@
 	return fault{}, false
 }
 
-// keep keeps a state up for a share of the span.
+// keep waits for a fraction of the span, during which the caller's fault stays in effect.
 func (t *trial) keep(ctx context.Context, share float64) {
 	select {
 	case <-ctx.Done():
@@ -114,7 +114,7 @@
 	}
 }
 
-// twoWaves reclaims a second zone while the first leaves.
+// twoWaves reclaims a second zone on each side while the boxes of the first are leaving.
 func twoWaves(_ context.Context, t *trial) { t.reclaim("bangna", "pasig-c") }
 
 func storeDown(ctx context.Context, t *trial) {
@@ -141,7 +141,7 @@
 	t.store.Table.Faults.Set(standin.Fault{})
 }
 
-// daemonKill ends a daemon without notice in the middle of the reclaim.
+// daemonKill kills a daemon during the reclaim.
 func daemonKill(_ context.Context, t *trial) {
 	ds := t.live()
 	if len(ds) < 2 {
@@ -153,7 +153,7 @@
 	d.Kill()
 }
 
-// pausedHolder makes a lease holder blind for three terms.
+// pausedHolder stops two daemons from noticing that their leases expire, for three lease terms.
 func pausedHolder(ctx context.Context, t *trial) {
 	ds := t.live()
 	ds = ds[:min(2, len(ds))]
@@ -167,7 +167,7 @@
 	}
 }
 
-// racingIntents has operators of both partners change at once, at different
+// racingIntents lets operators of both partners submit changes concurrently to different
 // daemons.
 func racingIntents(ctx context.Context, t *trial) {
 	ds := t.live()
@@ -203,7 +203,7 @@
 	t.say("       %d starts were refused", t.cloud.Refused())
 }
 
-// lateEvents makes the box list and the load reports much later.
+// lateEvents increases the delay of the box list.
 func lateEvents(ctx context.Context, t *trial) {
 	t.say("       the box list is 2.5 s late")
 	t.cloud.SetLag(2500 * time.Millisecond)
@@ -211,8 +211,8 @@
 	t.cloud.SetLag(500 * time.Millisecond)
 }
 
-// badEndpoint makes four runners cut, stall, garble and shorten answers, and
-// one take requests without ever answering.
+// badEndpoint injects one fault in each of five runners: they cut, stall, garble or shorten
+// responses, or accept requests without ever responding.
 func badEndpoint(ctx context.Context, t *trial) {
 	kinds := []standin.EngineFault{{CutAfter: 5}, {StallAfter: 4}, {Garble: true}, {Short: true}, {BlackHole: true}}
 	var bad []faulty
--- a/internal/trial/fuzz_test.go
+++ b/internal/trial/fuzz_test.go
@@ -12,12 +12,12 @@
 	"streambend.example/internal/trial"
 )
 
-// fuzzRuns is the fuzzer's budget in CI.
+// fuzzRuns is the number of random scripts that CI runs.
 const fuzzRuns = 12
 
 func TestMain(m *testing.M) { fuzz.Main(m, fuzzRuns) }
 
-// script draws what goes wrong and when.
+// script generates options with random events at random times.
 func script() *rapid.Generator[trial.Options] {
 	return rapid.Custom(func(t *rapid.T) trial.Options {
 		o := trial.DefaultOptions()
@@ -34,8 +34,8 @@
 	})
 }
 
-// TestFuzzPromises runs random scripts; the oracle is the callers' and the
-// endpoints' count.
+// TestFuzzPromises runs random scripts and checks every guarantee against the counters
+// of the callers and the endpoints.
 func TestFuzzPromises(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		o := script().Draw(rt, "script")
--- a/internal/trial/keys.go
+++ b/internal/trial/keys.go
@@ -13,11 +13,11 @@
 	"streambend.example/seam"
 )
 
-// sameKeyRounds is how many requests are each sent to all daemons at once.
+// sameKeyRounds is the number of requests that sameKey sends.
 const sameKeyRounds = 6
 
-// sameKey sends unrepeatable requests to all daemons at once under one key:
-// one of them may run it, and in the end all tell the same answer.
+// sameKey sends each of several non-idempotent requests to all daemons concurrently with the same
+// idempotency key. At most one execution may begin, and no daemon may return a different response.
 func sameKey(ctx context.Context, t *trial) {
 	rng := rand.New(rand.NewPCG(t.opts.Seed, 3))
 	tag := jobs()[2]
@@ -38,11 +38,11 @@
 	}
 }
 
-// handoverDrain is how long the stopping daemon waits in this fault.
+// handoverDrain is the drain timeout of the stopping daemon in handover.
 const handoverDrain = 600 * time.Millisecond
 
-// handover stops a daemon that has no time to finish: its callers come back
-// with their keys to another, which goes on from the last event.
+// handover stops a daemon with a drain timeout too short for its requests. Callers retry with their
+// idempotency keys at another daemon, which resumes after the last event.
 func handover(ctx context.Context, t *trial) {
 	ds := t.live()
 	if len(ds) < 2 {
@@ -56,8 +56,8 @@
 	t.markGone(d)
 }
 
-// blindReplacement takes a zone while the table has been down for long: the
-// boxes are replaced all the same, and none is started twice.
+// blindReplacement reclaims a zone on each side after a long outage of the table. The boxes must
+// be replaced nevertheless, and none started twice.
 func blindReplacement(ctx context.Context, t *trial) {
 	t.store.Table.Faults.Set(standin.Fault{Down: true})
 	defer t.store.Table.Faults.Set(standin.Fault{})
@@ -71,7 +71,7 @@
 	t.check(len(t.cloud.Boxes())-len(before) <= n+t.leavingSince(before), "%d boxes started for %d lost", len(t.cloud.Boxes())-len(before), n)
 }
 
-// enough reports whether every service has the boxes that it needs at least.
+// enough reports whether every service has its minimum number of boxes.
 func (t *trial) enough() bool {
 	have := make(map[string]int)
 	for _, b := range t.cloud.Boxes() {
@@ -87,7 +87,8 @@
 	return true
 }
 
-// leavingSince counts the boxes lost since a list, besides those it had.
+// leavingSince counts the boxes of a list that began to leave since, in zones that
+// blindReplacement does not reclaim.
 func (t *trial) leavingSince(before []seam.Box) int {
 	lost := 0
 	had := make(map[string]seam.Box)
@@ -102,8 +103,8 @@
 	return lost
 }
 
-// lateJoiner starts a daemon while the table is down: it takes the
-// configuration from its peers and serves.
+// lateJoiner starts a daemon while the table is down. It must get the configuration from its
+// peers and become ready.
 func lateJoiner(ctx context.Context, t *trial) {
 	t.store.Table.Faults.Set(standin.Fault{Down: true})
 	defer t.store.Table.Faults.Set(standin.Fault{})
--- a/internal/trial/list_test.go
+++ b/internal/trial/list_test.go
@@ -14,7 +14,7 @@
 	"streambend.example/seam"
 )
 
-// backList shows the list of the very beginning again, a few seconds on.
+// backList returns an empty list with the first sequence number from 3 s to 6 s after the start.
 type backList struct {
 	seam.BoxList
 	began time.Time
@@ -28,6 +28,7 @@
 	return l.BoxList.List(ctx, since)
 }
 
+// An older box list must not make the daemons drop endpoints that it lacks.
 func TestAListThatGoesBackEndsNoEndpoint(t *testing.T) {
 	o := trial.DefaultOptions()
 	o.Rate, o.Span, o.Script = 0.3, 8*time.Second, []trial.Step{}
--- a/internal/trial/load.go
+++ b/internal/trial/load.go
@@ -11,8 +11,8 @@
 	"streambend.example/process"
 )
 
-// balancer stands for the platform's: it knows the daemons that were ready at
-// its last look.
+// balancer simulates the platform's load balancer: it picks among the daemons that were ready at
+// its last health check.
 type balancer struct {
 	w *world
 
@@ -22,7 +22,7 @@
 	closed map[*process.Daemon]bool
 }
 
-// balancePeriod is between two looks at a daemon's readiness.
+// balancePeriod is the interval between two readiness checks.
 const balancePeriod = 100 * time.Millisecond
 
 func newBalancer(ctx context.Context, w *world) *balancer {
@@ -62,25 +62,25 @@
 	return b.ready[b.rng.IntN(len(b.ready))]
 }
 
-// plan notes that a daemon is being stopped as planned.
+// plan records that a planned stop of a daemon begins.
 func (b *balancer) plan(d *process.Daemon) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.closed[d] = true
 }
 
-// stopping reports whether a daemon is being stopped as planned.
+// stopping reports whether a planned stop of a daemon has begun.
 func (b *balancer) stopping(d *process.Daemon) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.closed[d]
 }
 
-// floodTeam is the team that Options.Flood makes larger.
+// floodTeam is the team whose request rate Options.Flood multiplies.
 const floodTeam = "disclosure"
 
-// load sends each job's requests at its rate until the time is over, and then
-// waits for the answers.
+// load sends the requests of each job at its rate until the span is over, and collects
+// the results.
 type load struct {
 	mu      sync.Mutex
 	results []*result
@@ -135,7 +135,7 @@
 	}()
 }
 
-// progress returns how many requests were sent and have ended.
+// progress returns the numbers of requests that were sent and that have ended.
 func (l *load) progress() (started, ended int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/trial/planted_test.go
+++ b/internal/trial/planted_test.go
@@ -17,17 +17,17 @@
 	"streambend.example/seam"
 )
 
-// plantRuns is within how many runs a planted fault must be found.
+// plantRuns is the number of runs within which a planted fault must be detected.
 const plantRuns = 40
 
-// planted is a fault that breaks the promise of the same place in the report. It
-// comes in through a seam of the product or of its surroundings.
+// planted is a deliberate defect that breaks the guarantee at the same index in the report. It is
+// injected through an interface of the product or of its environment.
 type planted struct {
 	name  string
 	seams trial.Seams
 }
 
-// plants lists one for each promise, in their order.
+// plants returns one defect for each guarantee, in their order.
 func plants() []planted {
 	return []planted{
 		{"drop-moved", trial.Seams{Judge: dropMoved}},
@@ -40,7 +40,7 @@
 	}
 }
 
-// dropMoved gives up a stream that was cut for a reclaim.
+// dropMoved fails a stream that was cut because of a reclaim instead of resuming it.
 func dropMoved(now time.Time, a *request.Aftermath) request.Verdict {
 	if a.Ending == request.EndedMoved {
 		return request.Verdict{Action: request.GiveUp, Code: code.NotWhole}
@@ -48,7 +48,7 @@
 	return request.Classify(now, *a)
 }
 
-// refuseAfterSend says of a broken attempt that it has not run.
+// refuseAfterSend reports a broken attempt as not run.
 func refuseAfterSend(now time.Time, a *request.Aftermath) request.Verdict {
 	if a.Ending == request.EndedBroken {
 		a.Tainted = false
@@ -57,7 +57,7 @@
 	return request.Classify(now, *a)
 }
 
-// rerunUnrepeatable sends a broken attempt again whatever it was.
+// rerunUnrepeatable retries a broken attempt even if the request is not idempotent.
 func rerunUnrepeatable(now time.Time, a *request.Aftermath) request.Verdict {
 	if a.Ending == request.EndedBroken {
 		return request.Verdict{Action: request.Again}
@@ -65,7 +65,7 @@
 	return request.Classify(now, *a)
 }
 
-// hideLeaving keeps from the daemons that boxes leave.
+// hideLeaving hides from the daemons that boxes are leaving.
 func hideLeaving(p process.Platform) process.Platform {
 	p.Cloud, p.Boxes = quietCloud{p.Cloud}, quietList{p.Boxes}
 	return p
@@ -87,8 +87,7 @@
 	return p, err
 }
 
-// revert shows an operator the version before, each time after the first that
-// one is read.
+// revert returns the previous version at every 31st read by an operator.
 func revert() func(d *process.Daemon, inForce int64) int64 {
 	reads := 0
 	return func(_ *process.Daemon, inForce int64) int64 {
@@ -99,7 +98,7 @@
 	}
 }
 
-// TestPlantedFaultsAreFound shows that each promise's check can fail.
+// TestPlantedFaultsAreFound verifies that the check of each guarantee detects a violation.
 func TestPlantedFaultsAreFound(t *testing.T) {
 	for i, f := range plants() {
 		t.Run(f.name, func(t *testing.T) {
@@ -113,7 +112,7 @@
 					return
 				}
 			}
-			require.Fail(t, "not found", "%s in %d runs", f.name, plantRuns)
+			require.Fail(t, "planted fault not detected", "%s in %d runs", f.name, plantRuns)
 		})
 	}
 }
--- a/internal/trial/replay.go
+++ b/internal/trial/replay.go
@@ -13,28 +13,28 @@
 	"streambend.example/version"
 )
 
-// Hour is a recorded hour of the platform and of the demand, at each Tick.
+// Hour is a generated hour of prices, demand, reclaims and refused starts, sampled every Tick.
 type Hour struct {
 	Tick    time.Duration
 	Prices  [][]seam.Price
 	Demand  []float64         // boxes that the demand needs
-	Reclaim []string          // zone that gets notice, "" for none
+	Reclaim []string          // zone whose reclaimable boxes get notice, "" for none
 	Refused []map[string]bool // zones where reclaimable starts are refused
 }
 
-// The course of a recorded hour.
+// Parameters of a generated hour.
 const (
 	hourTick    = 10 * time.Second
 	bootTime    = 90 * time.Second
 	noticeShort = 30 * time.Second
-	spotLow     = 0.2 // of the price on demand
+	spotLow     = 0.2 // fraction of the on-demand price
 	spotHigh    = 0.5
 	spotStep    = 0.03
 )
 
-// RecordHour makes an hour from a seed: prices that wander, demand that swings
-// by half, a zone reclaimed now and then (the cheaper, the likelier), and
-// starts refused after it.
+// RecordHour generates an hour from a seed: prices follow a random walk, demand oscillates by half,
+// zones are reclaimed at random (more likely the cheaper they are), and reclaimable starts in a zone
+// are refused for some minutes after its reclaim.
 func RecordHour(seed uint64, s version.Service) Hour {
 	rng := rand.New(rand.NewPCG(seed, 9))
 	h := Hour{Tick: hourTick}
@@ -66,17 +66,17 @@
 	return h
 }
 
-// Outcome is what a policy has made of an hour.
+// Outcome is the result of a placement policy for an hour.
 type Outcome struct {
 	Policy     version.Policy `json:"policy"`
-	Extra      float64        `json:"extra"` // boxes ordered beyond the demand, as a multiple
+	Extra      float64        `json:"extra"` // factor by which the demand given to the policy is multiplied
 	Cost       float64        `json:"cost"`
-	Attainment float64        `json:"attainment"` // share of the interactive work done at once
-	Done       float64        `json:"done"`       // share of all work done within the hour
-	Doubled    int            `json:"doubled"`    // slots held by two boxes
+	Attainment float64        `json:"attainment"` // fraction of the interactive work done without delay
+	Done       float64        `json:"done"`       // fraction of all work done within the hour
+	Doubled    int            `json:"doubled"`    // start orders whose token a box already had
 }
 
-// replay is one policy in an hour.
+// replay is the state of a simulation of one policy over an hour.
 type replay struct {
 	s       version.Service
 	h       Hour
@@ -93,16 +93,15 @@
 	out     Outcome
 }
 
-// Replay feeds a recorded hour to the pure policy. Extra multiplies the demand
-// that the policy is told of, so that policies can be compared at the same
-// attainment.
+// Replay simulates a placement policy over an hour. Extra multiplies the demand that is passed to the
+// policy, so that policies can be compared at the same attainment.
 func Replay(h Hour, s version.Service, p version.Policy, extra float64) Outcome {
 	r := &replay{
 		s: s, h: h, p: p, extra: extra, ready: make(map[string]time.Time), refused: make(map[version.BoxKind]time.Time),
 		dear: make(map[string]time.Time), lost: make(map[string]float64), out: Outcome{Policy: p, Extra: extra},
 	}
 	start := time.Date(2026, 12, 2, 0, 0, 0, 0, time.UTC)
-	// Begin with the boxes that the policy wants, all ready.
+	// Start with the boxes that the policy orders, all ready.
 	r.order(start.Add(-time.Hour), 0)
 	for id := range r.ready {
 		r.ready[id] = start
@@ -127,7 +126,8 @@
 	return r.out
 }
 
-// reclaim takes the boxes of a zone whose notice runs out.
+// reclaim removes boxes whose notice period has ended and gives notice to those of the zone
+// that is reclaimed at tick i.
 func (r *replay) reclaim(now time.Time, i int) {
 	for j := range r.boxes {
 		b := &r.boxes[j]
@@ -141,7 +141,7 @@
 	}
 }
 
-// order lets the policy decide and carries the decision out.
+// order runs the policy and applies its decision.
 func (r *replay) order(now time.Time, i int) {
 	r.peak = math.Max(r.h.Demand[i], r.peak*math.Pow(0.5, r.h.Tick.Minutes()/2))
 	in := version.PlaceInput{
@@ -182,8 +182,8 @@
 	r.prune()
 }
 
-// prune drops boxes that are gone and whose slot has a newer one, as the
-// platform's list does in time.
+// prune drops boxes that are gone and whose slot has a newer box, as the platform's list
+// eventually does.
 func (r *replay) prune() {
 	newest := make(map[string]int)
 	for _, b := range r.boxes {
@@ -216,7 +216,7 @@
 	r.ready[id] = now.Add(bootTime)
 }
 
-// serving counts the boxes that serve.
+// serving returns the number of boxes that have booted and are not gone.
 func (r *replay) serving(now time.Time) float64 {
 	n := 0.0
 	for _, b := range r.boxes {
@@ -227,7 +227,7 @@
 	return n
 }
 
-// bill adds the price of one tick.
+// bill adds the cost of one tick.
 func (r *replay) bill(i int) {
 	for _, b := range r.boxes {
 		if b.State == seam.BoxGone {
@@ -241,22 +241,22 @@
 	}
 }
 
-// PlacementService is the service whose hours are replayed.
+// PlacementService returns the service that Replay simulates.
 func PlacementService() version.Service {
 	s := services()[0]
 	s.MinBoxes, s.MaxBoxes, s.HourlyBound = 4, 40, 1000
 	return s
 }
 
-// extraSteps are the multiples of the demand tried for an equal attainment.
+// extraSteps are the demand multipliers that AtAttainment tries, in order.
 var extraSteps = [...]float64{1, 1.5, 3}
 
-// doneShare is the share of all work that must be done within the hour.
+// doneShare is the minimum fraction of all work that must be done within the hour.
 const doneShare = 0.95
 
-// AtAttainment returns the smallest outcome of a policy, on average over the
-// hours of so many seeds, that attains a share of the interactive work and
-// does the rest within the hour; false if none does.
+// AtAttainment returns the outcome of a policy, averaged over hours of several seeds, at the smallest
+// demand multiplier that attains a fraction of the interactive work and doneShare of all work. If none
+// does, it returns the outcome at the largest multiplier and false.
 func AtAttainment(p version.Policy, share float64, seeds int) (Outcome, bool) {
 	s := PlacementService()
 	var best Outcome
--- a/internal/trial/replay_test.go
+++ b/internal/trial/replay_test.go
@@ -11,9 +11,8 @@
 	"streambend.example/version"
 )
 
-// TestPlacementIsCheapAtEqualAttainment replays recorded hours, at a share of
-// interactive work done at once that every policy can reach and at one that
-// only some can.
+// TestPlacementIsCheapAtEqualAttainment compares the cost of placement policies over generated hours, at
+// an attainment of interactive work that every policy reaches and at one that only some reach.
 func TestPlacementIsCheapAtEqualAttainment(t *testing.T) {
 	const hours = 5
 	for _, share := range []float64{0.9, 0.99} {
@@ -31,7 +30,7 @@
 		assert.LessOrEqual(t, cost[version.Ours], 0.5*cost[version.OnDemand])
 		assert.Less(t, cost[version.Ours], cost[version.Spread])
 		if share > 0.95 {
-			assert.Less(t, cost[version.Ours], cost[version.Greedy], "which does not reach it at any size")
+			assert.Less(t, cost[version.Ours], cost[version.Greedy], "the greedy policy does not reach this attainment at any size")
 		}
 	}
 }
--- a/internal/trial/report.go
+++ b/internal/trial/report.go
@@ -12,7 +12,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Report is what callers and endpoints have counted.
+// Report holds the counters of callers and endpoints after a trial.
 type Report struct {
 	Seed  uint64 `json:"seed"`
 	Fault string `json:"fault"`
@@ -23,7 +23,7 @@
 	NotAnswered       int     `json:"not_answered"`
 	RefusedNotRun     int     `json:"refused_not_run"`
 	RefusedButRan     int     `json:"refused_but_ran"`
-	UnknownOutcome    int     `json:"unknown_outcome"` // of unrepeatable requests, told honestly
+	UnknownOutcome    int     `json:"unknown_outcome"` // of non-idempotent requests, reported as unknown
 	RanTwice          int     `json:"ran_twice"`
 	NotWhole          int     `json:"not_whole"`
 	CutByPlannedStop  int     `json:"cut_by_planned_stop"`
@@ -36,8 +36,8 @@
 	TokensGenerated   int     `json:"tokens_generated"`
 	TokensRecomputed  int     `json:"tokens_recomputed"`
 	TokensRepeated    int     `json:"tokens_recomputed_by_moves"`
-	PrefixReuse       float64 `json:"prefix_reuse"`   // share of prompt tokens found in a cache
-	BusiestRunner     float64 `json:"busiest_runner"` // requests of the busiest runner over the mean, the larger of both partners
+	PrefixReuse       float64 `json:"prefix_reuse"`   // fraction of prompt tokens found in a cache
+	BusiestRunner     float64 `json:"busiest_runner"` // requests of the busiest runner divided by the mean; the larger value of both partners
 	TokensCached      int     `json:"tokens_cached"`
 	TokensPrefilled   int     `json:"tokens_prefilled"`
 	Cost              float64 `json:"cost"`
@@ -48,16 +48,16 @@
 	Moves             int64   `json:"moves"`
 	Exports           int64   `json:"exports"`
 
-	Wrong    []string `json:"wrong,omitempty"` // checks of a fault that did not hold
+	Wrong    []string `json:"wrong,omitempty"` // failed checks of the injected faults
 	Failures []string `json:"failures,omitempty"`
 	Jobs     []JobRow `json:"jobs"`
 
-	mayUnknown   bool // the script allows honest unknown outcomes
+	mayUnknown   bool // the script allows unknown outcomes
 	mayRefuse    bool // the script allows refusals
 	expectChange bool // the script changes the configuration
 }
 
-// JobRow counts one kind of request.
+// JobRow holds the counters of one kind of request.
 type JobRow struct {
 	Partner  string  `json:"partner"`
 	Route    string  `json:"route"`
@@ -69,20 +69,20 @@
 	P95      float64 `json:"answer_p95_s"`
 }
 
-// The bounds that a trial holds the promises to.
+// Time limits that Promises checks.
 const (
 	leavingBound = 3 * time.Second
 	inForceBound = 3 * time.Second
 )
 
-// Promise is one line of the promise table.
+// Promise is the result of checking one guarantee.
 type Promise struct {
 	Text string
 	Held bool
 	Note string
 }
 
-// Promises returns the lines of "What must always hold" and whether each held.
+// Promises returns the guarantees that must always hold and whether each held.
 func (r *Report) Promises() []Promise {
 	lost := r.NotAnswered
 	if !r.mayUnknown {
@@ -103,12 +103,12 @@
 	}
 }
 
-// Held reports whether every promise held.
+// Held reports whether every guarantee held.
 func (r *Report) Held() bool {
 	return len(r.Wrong) == 0 && !slices.ContainsFunc(r.Promises(), func(p Promise) bool { return !p.Held })
 }
 
-// Print writes the report for a person.
+// Print writes a human-readable report.
 func (r *Report) Print(w io.Writer) {
 	t := tabwriter.NewWriter(w, 2, 8, 2, ' ', 0)
 	fmt.Fprintln(t, "partner\troute\tsent\tin target\tlate\trefused\tother\tp95")
@@ -136,10 +136,10 @@
 	}
 }
 
-// failuresShown bounds how many failed requests a report names.
+// failuresShown is the maximum number of failed requests listed in a report.
 const failuresShown = 8
 
-// count adds up what the callers have seen.
+// count aggregates the results of the callers.
 func (r *Report) count(results []*result) {
 	ttft, over := newHistogram(), newHistogram()
 	rows := make(map[string]*JobRow)
@@ -222,7 +222,7 @@
 	h.RecordValue(max(1, d.Microseconds()))
 }
 
-// quantile returns seconds.
+// quantile returns a quantile, given in percent, in seconds.
 func quantile(h *hdrhistogram.Histogram, q float64) float64 {
 	return float64(h.ValueAtQuantile(q)) / 1e6
 }
--- a/internal/trial/rollout.go
+++ b/internal/trial/rollout.go
@@ -20,29 +20,28 @@
 	"streambend.example/platform"
 )
 
-// The trials of a service that moves to another version.
+// Names of the trials that roll out a new version of a service.
 const (
 	rolloutGood = "rollout-good"
 	rolloutBad  = "rollout-bad"
 )
 
-// The figures of these trials.
+// Parameters of the rollout trials.
 const (
-	rolloutFor       = 8 * time.Second // from the order to its deadline
-	rolloutEndpoints = 4               // of each version
-	rolloutRate      = 150             // requests a second
-	rolloutSettle    = 3 * time.Second // before the order and after its end
+	rolloutFor       = 8 * time.Second // duration of the rollout
+	rolloutEndpoints = 4               // endpoints of each version
+	rolloutRate      = 150             // requests per second
+	rolloutSettle    = 3 * time.Second // wait before the rollout order and after the rollout ends
 	rolloutMost      = 30 * time.Second
-	// untriedShare and untriedSlack are what an untried version may get, and rollBackIn how long
-	// after its fiftieth bad answer it may get anything: what the settings of a daemon say if
-	// they say nothing.
+	// An untried version may get untriedShare of the requests plus untriedSlack, and none later than
+	// rollBackIn after its fiftieth failed response. These are the defaults of a daemon's settings.
 	untriedShare = 0.1
 	untriedSlack = 50
 	rollBackIn   = 5 * time.Second
 	fiftieth     = 50
 )
 
-// rolloutKind is a kind of request of these trials.
+// rolloutKind is a kind of request of the rollout trials.
 type rolloutKind struct {
 	method, path string
 	events       int
@@ -52,7 +51,7 @@
 	{http.MethodPost, "/digest/", 40}, {http.MethodPost, "/explain/", 25}, {http.MethodPost, "/write/", 0},
 }
 
-// rolloutTrial is daemons on the users' platform, of whose services one moves to another version.
+// rolloutTrial runs daemons on the users' platform while a service is rolled out to a new version.
 type rolloutTrial struct {
 	o       Options
 	bad     bool
@@ -62,7 +61,7 @@
 	daemons []*entry.Daemon
 	old     []*standin.Runner
 	young   []*standin.Runner
-	stray   *standin.Runner // of a version that nobody orders
+	stray   *standin.Runner // of a version that no rollout orders
 	report  *Report
 
 	mu      sync.Mutex
@@ -71,7 +70,7 @@
 	state   string
 }
 
-// runRollout plays one of these trials.
+// runRollout runs a rollout trial.
 func runRollout(ctx context.Context, o Options, logs io.Writer) (*Report, error) {
 	t := &rolloutTrial{o: o, bad: o.Fault == rolloutBad, net: standin.NewNet(), report: &Report{Seed: o.Seed, Fault: o.Fault, mayUnknown: o.Fault == rolloutBad}}
 	defer t.close()
@@ -103,14 +102,14 @@
 	}
 }
 
-// setUp starts the stand-ins and the daemons, and waits until these know the endpoints.
+// setUp starts the stand-ins and the daemons, and waits until the daemons know the endpoints.
 func (t *rolloutTrial) setUp(logs io.Writer) error {
 	var err error
 	if t.store, err = standin.NewRows(t.net, "10.9.0.1:80"); err != nil {
-		return errors.Wrap(err, "trial: store")
+		return errors.Wrap(err, "trial: start store")
 	}
 	if t.api, err = standin.NewDutyAPI(t.net, "10.9.0.2:80"); err != nil {
-		return errors.Wrap(err, "trial: cloud")
+		return errors.Wrap(err, "trial: start cloud API")
 	}
 	if err := t.putCatalog(); err != nil {
 		return err
@@ -164,7 +163,7 @@
 		"services": []any{map[string]any{"name": rolloutService, "engine": map[string]any{"slots": 64, "kv_cache_tokens": 500000}}},
 	})
 	if err != nil {
-		return errors.Wrap(err, "trial: configuration")
+		return errors.Wrap(err, "trial: encode configuration")
 	}
 	t.store.Put(platform.CatalogTable, "", "config", b)
 	return nil
@@ -180,7 +179,7 @@
 	for i := range count {
 		r, err := standin.NewRunner(t.net, "127.0.0.1:0", fmt.Sprintf("i-%s-%d", version, i), 0, 10*time.Millisecond)
 		if err != nil {
-			return nil, errors.Wrap(err, "trial: endpoint")
+			return nil, errors.Wrap(err, "trial: start endpoint")
 		}
 		r.Version, r.ByPath = version, make(map[string]int)
 		for _, k := range rolloutKinds {
@@ -193,11 +192,11 @@
 	return out, nil
 }
 
-// operate is the operator and the platform: it orders the version, starts its endpoints, and stops
-// those of the version that has lost.
+// operate acts as the operator and the platform: it orders the rollout and starts the endpoints of
+// the new version. If the rollout completes, it stops those of the old version.
 func (t *rolloutTrial) operate(ctx context.Context) {
 	sleepFor(ctx, rolloutSettle)
-	b, _ := json.Marshal(map[string]any{"service": rolloutService, "target_version": "v2", "duration_s": rolloutFor.Seconds()}) // texts and numbers always encode
+	b, _ := json.Marshal(map[string]any{"service": rolloutService, "target_version": "v2", "duration_s": rolloutFor.Seconds()}) // strings and numbers always encode
 	t.ordered = time.Now()
 	t.store.Put(platform.CatalogTable, "", "rollout/"+rolloutService, b)
 	t.say("version v2 is ordered, for %s", rolloutFor)
@@ -230,7 +229,7 @@
 	}
 }
 
-// stop stops endpoints at once, with what they run.
+// stop stops endpoints immediately, together with the requests that they run.
 func (t *rolloutTrial) stop(rs []*standin.Runner) {
 	for _, r := range rs {
 		r.Close()
@@ -238,7 +237,7 @@
 	}
 }
 
-// status returns the state of the order as the operator reads it.
+// status returns the state of the rollout as an operator reads it.
 func (t *rolloutTrial) status() string {
 	var s struct {
 		State  string `json:"state"`
@@ -260,7 +259,7 @@
 	t.report.Wrong = append(t.report.Wrong, fmt.Sprintf(format, args...))
 }
 
-// call sends requests at an even rate to all daemons in turn.
+// call sends requests at a constant rate to all daemons in turn.
 func (t *rolloutTrial) call(ctx context.Context) {
 	client := &http.Client{Transport: &http.Transport{DialContext: t.net.Dial, DisableCompression: true, MaxIdleConnsPerHost: rolloutRate}}
 	defer client.CloseIdleConnections()
@@ -278,13 +277,13 @@
 	}
 }
 
-// one sends a request and counts what came of it.
+// one sends a request and counts its outcome.
 func (t *rolloutTrial) one(client *http.Client, i int) {
 	k := rolloutKinds[i/len(t.daemons)%len(rolloutKinds)]
 	id := fmt.Sprintf("r%d-%d", t.o.Seed, i)
 	req, err := http.NewRequest(k.method, fmt.Sprintf("http://10.0.0.%d:80%s%s", i%len(t.daemons), k.path, id), strings.NewReader("body of "+id))
 	if err != nil {
-		panic(err) // the address is our own
+		panic(err) // the URL is always valid
 	}
 	req.Host = rolloutHost
 	standin.CallerHead{ID: id, Wait: 8 * time.Second, Tokens: "900,60", Prompt: fmt.Sprintf("a1:300,%x:400,%x:200", 16+i%20, i)}.Write(req.Header)
@@ -305,14 +304,14 @@
 	case err == nil && resp.StatusCode == http.StatusOK:
 		r.NotWhole++
 	case err == nil && signed && t.bad:
-		r.UnknownOutcome++ // the bad version's own failure
+		r.UnknownOutcome++ // a failure response of the bad version
 	default:
 		r.NotAnswered++
 		r.Failures = append(r.Failures, fmt.Sprintf("%s: %v %.200s", id, err, body))
 	}
 }
 
-// check holds what the endpoints have run against what an untried version may get.
+// check compares the requests that the endpoints ran with what an untried version may get.
 func (t *rolloutTrial) check() {
 	want := "completed"
 	if t.bad {
@@ -335,8 +334,8 @@
 	}
 }
 
-// checkGone holds when the bad version got its last request against its fiftieth bad answer, or
-// against the end of the order.
+// checkGone checks that the bad version got no requests later than rollBackIn after its fiftieth failed
+// response or, without that many, one second after the end of the rollout.
 func (t *rolloutTrial) checkGone() {
 	limit := t.ended.Add(time.Second)
 	var bad []time.Time
--- a/internal/trial/run.go
+++ b/internal/trial/run.go
@@ -19,36 +19,36 @@
 	"streambend.example/version"
 )
 
-// Options say what a trial does. DefaultOptions gives the ordinary ones.
+// Options configures a trial. DefaultOptions returns the default values.
 type Options struct {
 	Seed     uint64
 	Policy   string // one of Policies
 	Fault    string // one of Faults, or ""
-	Script   []Step // what happens when; nil for Script(Fault)
+	Script   []Step // events and their times; nil for Script(Fault)
 	Daemons  int
-	Span     time.Duration // how long requests are sent
-	Rate     float64       // multiple of the ordinary load
+	Span     time.Duration // period during which requests are sent
+	Rate     float64       // multiple of the default load
 	Flood    float64       // further multiple for the team "disclosure"
-	Boxes    float64       // share of the ordinary boxes, which then stay as many
-	Hurry    bool          // callers name a deadline: one and a half times the target, less what has passed
+	Boxes    float64       // fraction of the default number of boxes; unless 1, the number is constant
+	Hurry    bool          // callers set a deadline of 1.5 times the target, less the time already spent
 	LogLevel string
-	Progress io.Writer // for a person; nil for none
+	Progress io.Writer // human-readable progress; nil for none
 	Net      seam.Network
-	// DaemonNet is the network that the daemons dial over, to be measured; nil
+	// DaemonNet is the network on which the daemons dial, for measurements; nil
 	// for Net.
 	DaemonNet seam.Network
-	Hold      bool // keep running afterwards until ctx ends
+	Hold      bool // after the trial, keep the system running until ctx ends
 	Seams     Seams
 }
 
-// Seams are where a test puts a fault of its own in, to show that a promise's
-// check can fail. The zero value puts none in.
+// Seams are hooks through which a test injects defects, to verify that the check of a guarantee can
+// fail. The zero value injects none.
 type Seams struct {
-	Judge    request.JudgePolicy                                 // of what follows an attempt
-	Platform func(p process.Platform) process.Platform           // what a daemon reaches
-	Engine   standin.EngineFault                                 // of every engine, from its start
-	Stop     func(ctx context.Context, d *process.Daemon)        // of a planned stop; nil for the daemon's own
-	Version  func(d *process.Daemon, inForce int64) (seen int64) // the version that an operator reads; nil for what is in force
+	Judge    request.JudgePolicy                                 // decides what follows an attempt
+	Platform func(p process.Platform) process.Platform           // wraps the platform of a daemon
+	Engine   standin.EngineFault                                 // fault of every engine from its start
+	Stop     func(ctx context.Context, d *process.Daemon)        // performs a planned stop; nil for Daemon.Stop
+	Version  func(d *process.Daemon, inForce int64) (seen int64) // replaces the version that an operator reads; nil for none
 }
 
 // DefaultOptions returns the options of "streambend try".
@@ -56,7 +56,7 @@
 	return Options{Seed: 1, Policy: "ours", Daemons: 4, Span: 14 * time.Second, Rate: 1, Flood: 1, Boxes: 1, LogLevel: "error", Net: seam.TCP{}}
 }
 
-// Policies lists the names that Options.Policy takes.
+// Policies returns the valid values of Options.Policy.
 func Policies() []string {
 	return []string{
 		"ours", "random", "least-loaded", "restart", "resume", "export", "on-demand", "greedy", "spread",
@@ -64,7 +64,7 @@
 	}
 }
 
-// adjust switches a mechanism off, where the policy is named so.
+// adjust disables the mechanism that the policy names, if any.
 func (o Options) adjust(r *request.Options) {
 	r.NoLimit = o.Policy == "no-limit"
 	r.NoFairQueue = o.Policy == "no-fair-queue"
@@ -86,7 +86,7 @@
 	return route, move, place
 }
 
-// trial is one run.
+// trial is the state of one run.
 type trial struct {
 	*world
 	balancer *balancer
@@ -95,11 +95,11 @@
 	mu      sync.Mutex
 	inForce time.Duration
 	changes int
-	first   map[string]bool // boxes that were there at the beginning
+	first   map[string]bool // boxes that existed at the start
 }
 
-// Run runs a trial. The error tells that it could not be run; whether the
-// promises held is in the report.
+// Run runs a trial. An error means that it could not be run; the report tells whether the
+// guarantees held.
 func Run(ctx context.Context, o Options, logs io.Writer) (*Report, error) {
 	if o.Fault == rolloutGood || o.Fault == rolloutBad {
 		return runRollout(ctx, o, logs)
@@ -109,7 +109,7 @@
 	}
 	for _, s := range o.Script {
 		if _, ok := findEvent(s.Event); !ok {
-			return nil, errors.Errorf("trial: no event %q", s.Event)
+			return nil, errors.Errorf("trial: unknown event %q", s.Event)
 		}
 	}
 	w, err := newWorld(o, logs)
@@ -141,7 +141,7 @@
 		close(done)
 	}()
 	if err := t.follow(ctx, l, done); err != nil {
-		cancel() // so that the callers end, and the error is all that is seen
+		cancel() // ends the callers, so that only the error is returned
 		<-done
 		events.Wait()
 		return nil, err
@@ -154,7 +154,7 @@
 	return t.report, nil
 }
 
-// check notes what a fault has found wrong.
+// check records a failed check of a fault in the report.
 func (t *trial) check(ok bool, format string, args ...any) {
 	if ok {
 		return
@@ -170,7 +170,7 @@
 	}
 }
 
-// lastAnswers bounds how long the last answers may take.
+// lastAnswers is the timeout for the last responses after the span.
 const lastAnswers = 90 * time.Second
 
 // follow prints progress until all requests have ended.
@@ -189,13 +189,13 @@
 			k := t.ledger.Tally()
 			t.say("%3.0f s  sent %d, ended %d, tokens %d, boxes leaving %d", time.Since(began).Seconds(), sent, ended, k.Generated, len(t.leaving()))
 			if time.Since(began) > t.opts.Span+lastAnswers {
-				return errors.Errorf("trial: %d requests did not end", sent-ended)
+				return errors.Errorf("trial: %d requests have not ended", sent-ended)
 			}
 		}
 	}
 }
 
-// schedule starts the script's steps.
+// schedule starts the steps of the script at their times.
 func (t *trial) schedule(ctx context.Context, wg *sync.WaitGroup) {
 	for _, step := range t.opts.Script {
 		f, _ := findEvent(step.Event)
@@ -217,7 +217,7 @@
 	}
 }
 
-// finish fills the report in.
+// finish completes the report.
 func (t *trial) finish(l *load, reverts func() int) {
 	r, k := t.report, t.ledger.Tally()
 	r.count(l.results)
@@ -241,8 +241,8 @@
 	}
 }
 
-// busiest returns the requests of a partner's busiest runner over the mean of
-// those runners that were there from the beginning to the end.
+// busiest returns the requests of a partner's busiest runner divided by the mean, over
+// the runners that existed during the whole trial.
 func (t *trial) busiest(partner string) float64 {
 	most, sum, n := 0, 0, 0
 	for _, b := range t.cloud.Boxes() {
@@ -258,7 +258,7 @@
 	return float64(most) * float64(n) / float64(sum)
 }
 
-// hold keeps everything running and says how to reach it.
+// hold prints how to reach the system and keeps it running until ctx ends.
 func (t *trial) hold(ctx context.Context) {
 	for _, d := range t.live() {
 		a := d.Addresses()
--- a/internal/trial/trial_test.go
+++ b/internal/trial/trial_test.go
@@ -15,7 +15,7 @@
 	"streambend.example/internal/trial"
 )
 
-// virtual runs a trial in virtual time over a network in memory.
+// virtual runs a trial in virtual time on an in-memory network.
 func virtual(t *testing.T, o trial.Options) *trial.Report {
 	var r *trial.Report
 	synctest.Test(t, func(t *testing.T) {
@@ -42,7 +42,7 @@
 	}
 }
 
-// TestPrefixReuse compares routing policies at equal load, without faults.
+// TestPrefixReuse compares the prefix cache hits of routing policies at equal load without faults.
 func TestPrefixReuse(t *testing.T) {
 	var ours, random *trial.Report
 	t.Run("trials", func(t *testing.T) {
@@ -61,9 +61,9 @@
 	assert.LessOrEqual(t, ours.BusiestRunner, 1.3)
 }
 
-// TestMovesRecomputeLittle compares moves with restarts in the reclaim of a
-// zone on each side, under twice the ordinary load, over four seeds: a single
-// reclaim moves ten streams or so, too few to compare.
+// TestMovesRecomputeLittle compares the tokens recomputed by moves and by restarts when a zone on each
+// side is reclaimed under twice the default load. It uses four seeds, since a single reclaim moves only
+// about ten streams, too few to compare.
 func TestMovesRecomputeLittle(t *testing.T) {
 	const seeds = 4
 	var ours, restart [seeds]*trial.Report
@@ -91,7 +91,7 @@
 	assert.LessOrEqual(t, 4*moved, again)
 }
 
-// overload runs a quarter of the boxes, which cannot grow.
+// overload runs a trial with a quarter of the boxes and without scaling.
 func overload(t *testing.T, rate, flood float64) *trial.Report {
 	o := trial.DefaultOptions()
 	o.Span, o.Rate, o.Flood, o.Boxes, o.Script = 24*time.Second, rate, flood, 0.23, []trial.Step{}
@@ -99,8 +99,8 @@
 	return virtual(t, o)
 }
 
-// goodput is the work of the Office's language-model requests answered within
-// their target, in tokens.
+// goodput returns the tokens of the Office's language-model requests that completed within
+// their target.
 func goodput(r *trial.Report) int {
 	sum := 0
 	for _, j := range r.Jobs {
--- a/internal/trial/workload.go
+++ b/internal/trial/workload.go
@@ -13,7 +13,7 @@
 	"streambend.example/version"
 )
 
-// The partners, and the availability zones and the class of their boxes.
+// The partners, the box classes, and the size of the box pool.
 const (
 	office    = "office"
 	podwave   = "podwave"
@@ -27,15 +27,15 @@
 	manila  = []string{"makati-a", "makati-b", "pasig-c", "taguig-d"}
 )
 
-// job is one kind of request.
+// job describes one kind of request and its load.
 type job struct {
 	partner      string
 	route        string
 	team         string
 	perSecond    float64
-	words        int // of the shared document at the prompt's head
+	words        int // length of the shared document at the start of the prompt
 	documents    int
-	tokens       int // asked for; 0 for a plain call
+	tokens       int // requested tokens; 0 for a plain request
 	stream       bool
 	chat         bool
 	unrepeatable bool
@@ -60,7 +60,7 @@
 
 func span(d time.Duration) version.Duration { return version.Duration{Duration: d} }
 
-// services are the intents that the operators submit.
+// services returns the intents that the operators submit.
 func services() []version.Service {
 	notRun := []int{429, 503}
 	return []version.Service{
@@ -97,7 +97,7 @@
 	}
 }
 
-// scaled returns the intents with a share of the boxes.
+// scaled returns the intents with a fraction of the boxes; unless it is 1, their number is fixed.
 func scaled(share float64) []version.Service {
 	out := services()
 	if share == 1 {
@@ -110,7 +110,7 @@
 	return out
 }
 
-// prices returns the price of each kind, different by zone.
+// prices returns the price of each kind of box, with random reclaimable prices per zone.
 func prices(rng *rand.Rand) []seam.Price {
 	var out []seam.Price
 	for _, z := range append(append([]string{}, bangkok...), manila...) {
@@ -124,7 +124,7 @@
 	return out
 }
 
-// engine is the speed of the trial's runners.
+// engine returns the engine configuration of the trial's runners.
 func engine(svc version.Service) standin.EngineConfig {
 	return standin.EngineConfig{
 		Batch: 16, Step: 5 * time.Millisecond, Crowd: 1, Prefill: 20000, CacheBlocks: 900,
@@ -132,7 +132,7 @@
 	}
 }
 
-// document returns the shared text at the head of prompts.
+// document returns the shared text at the start of prompts.
 func document(route string, n, words int) string {
 	var sb strings.Builder
 	for i := range words {
--- a/internal/trial/world.go
+++ b/internal/trial/world.go
@@ -22,7 +22,7 @@
 	"streambend.example/version"
 )
 
-// world is the daemons and what surrounds them.
+// world holds the daemons and the stand-ins around them.
 type world struct {
 	opts   Options
 	rng    *rand.Rand
@@ -35,15 +35,15 @@
 
 	storeURL string
 	cloudURL string
-	wg       sync.WaitGroup // of what runs beside the load
+	wg       sync.WaitGroup // goroutines other than the load
 
 	mu      sync.Mutex
 	daemons []*process.Daemon
 	gone    map[*process.Daemon]bool
-	bad     map[string]faulty // box to its stand-in
+	bad     map[string]faulty // box ID to its stand-in
 }
 
-// faulty is a stand-in whose faults can be switched.
+// faulty is a stand-in that supports fault injection.
 type faulty interface{ SetFault(standin.EngineFault) }
 
 func token(kind, partner, name string) string { return kind + "-" + partner + "-" + name }
@@ -75,7 +75,7 @@
 	w.log.SetOutput(logs)
 	level, err := logrus.ParseLevel(o.LogLevel)
 	if err != nil {
-		return nil, errors.Wrap(err, "trial: log level")
+		return nil, errors.Wrap(err, "trial: parse log level")
 	}
 	w.log.SetLevel(level)
 	w.cloud = standin.NewCloud(prices(w.rng))
@@ -99,7 +99,7 @@
 	return w, nil
 }
 
-// startDaemon starts one more daemon; it knows those before it as seeds.
+// startDaemon starts another daemon, with the live daemons as its seeds.
 func (w *world) startDaemon() (*process.Daemon, error) {
 	zones := append(append([]string{}, bangkok...), manila...)
 	i := len(w.daemons)
@@ -140,8 +140,8 @@
 	s.Timing.Hold = span(30 * time.Second)
 	s.Timing.FirstWait, s.Timing.Stall = span(2*time.Second), span(time.Second)
 	if w.opts.DaemonNet == nil {
-		// A trial is short: what takes ordinary daemons minutes happens
-		// within seconds.
+		// Intervals that take minutes by default are shortened to seconds,
+		// since a trial is short.
 		s.Timing.List, s.Timing.Poll = span(500*time.Millisecond), span(time.Second)
 		s.Timing.Lease, s.Timing.Watch = span(3*time.Second), span(500*time.Millisecond)
 	}
@@ -159,7 +159,7 @@
 	return s
 }
 
-// launch starts the endpoint of a box.
+// launch starts the stand-in of a box.
 func (w *world) launch(b seam.Box) standin.Machine {
 	var svc version.Service
 	for _, s := range services() {
@@ -182,7 +182,7 @@
 	return p
 }
 
-// live returns the daemons that have not been ended.
+// live returns the daemons that have not been stopped or killed.
 func (w *world) live() []*process.Daemon {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -215,7 +215,7 @@
 	w.http.CloseIdleConnections()
 }
 
-// until waits for a condition.
+// until polls a condition and returns an error on timeout.
 func until(ctx context.Context, most time.Duration, what string, cond func() bool) error {
 	ctx, cancel := context.WithTimeout(ctx, most)
 	defer cancel()
@@ -229,7 +229,7 @@
 	return nil
 }
 
-// isReady asks a daemon as the balancer does.
+// isReady queries the readiness endpoint of a daemon as the balancer does.
 func (w *world) isReady(d *process.Daemon) bool {
 	resp, err := w.http.Get("http://" + d.Addresses().Callers + "/readyz")
 	if err != nil {
@@ -239,7 +239,7 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// setUp submits and confirms the intents and waits for the boxes.
+// setUp submits and confirms the intents, and waits until all daemons know the boxes.
 func (w *world) setUp(ctx context.Context) error {
 	err := until(ctx, 10*time.Second, "readiness of all daemons", func() bool {
 		for _, d := range w.daemons {
