--- a/internal/fuzz/doc.go
+++ b/internal/fuzz/doc.go
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: MIT
 
-// Package fuzz makes rapid's verdicts repeatable: the same seed and the same
-// number of runs each time, unless the command line says otherwise.
+// Package fuzz makes property tests with rapid reproducible: it sets a fixed seed
+// and number of runs unless the command line sets them.
 //
 //	func TestMain(m *testing.M) { fuzz.Main(m, 100) }
 package fuzz
@@ -12,13 +12,13 @@
 	"strconv"
 	"testing"
 
-	// It registers the flags that Main sets.
+	// Registers the flags that Main sets.
 	_ "pgregory.net/rapid"
 )
 
 const seed = "20261202"
 
-// Main runs the tests of a package with so many runs of each property.
+// Main runs the tests of a package with the given number of runs per property.
 func Main(m *testing.M, runs int) {
 	flag.Parse()
 	given := make(map[string]bool)
