--- a/internal/soak/check.go
+++ b/internal/soak/check.go
@@ -11,35 +11,35 @@
 	"streambend.example/internal/standin"
 )
 
-// kind is a kind of request and what it promises.
+// kind is a kind of request and its guarantees.
 type kind struct {
 	path   string
 	method string
 	once   bool // runs at most once
-	events int  // of its stream; 0 for a plain answer
+	events int  // number of events in its stream; 0 for a plain response
 }
 
-// asked is a request that was sent, for the check of what became of it.
+// asked records a request that was sent, to check its outcome.
 type asked struct {
 	kind    kind
-	dead    bool // its key was taken away long before
-	refused bool // the answer said that it has not run
+	dead    bool // its API key had been revoked for longer than deadAfter
+	refused bool // the response stated that it has not run
 }
 
-// checker holds the promises against what callers and endpoints have seen.
+// checker checks the guarantees against what callers and endpoints observe.
 type checker struct {
 	mu      sync.Mutex
 	asked   map[string]*asked
 	broken  []string
-	answers map[string]int // by status or error
-	calm    time.Time      // when the last fault ended
+	answers map[string]int // number of responses by status or error
+	calm    time.Time      // when the last fault ends
 }
 
 func newChecker() *checker {
 	return &checker{asked: make(map[string]*asked), answers: make(map[string]int)}
 }
 
-// most bounds the broken promises that are told one by one.
+// most is the maximum number of violations that are reported.
 const most = 20
 
 func (c *checker) fail(format string, args ...any) {
@@ -48,14 +48,14 @@
 	}
 }
 
-// send notes a request before it is sent.
+// send records a request before it is sent.
 func (c *checker) send(id string, k kind, dead bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.asked[id] = &asked{kind: k, dead: dead}
 }
 
-// disturb notes that something fails until a time.
+// disturb records that a fault is in effect until a time.
 func (c *checker) disturb(until time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -64,7 +64,7 @@
 	}
 }
 
-// wholeStream is the body of a stream of so many events, as the stand-in writes it.
+// wholeStream returns the body of a complete stream of n events, as the stand-in writes it.
 func wholeStream(n int) string {
 	var b strings.Builder
 	for i := 1; i <= n; i++ {
@@ -73,10 +73,10 @@
 	return b.String()
 }
 
-// settle is how long after a fault a connection may still break for it.
+// settle is how long after a fault a connection may still break because of it.
 const settle = 3 * time.Second
 
-// answer takes in what a caller got.
+// answer checks and records the outcome of a request.
 func (c *checker) answer(id string, d *daemon, began time.Time, status int, body, signature string, err error) {
 	now := time.Now()
 	c.mu.Lock()
@@ -108,7 +108,7 @@
 	}
 }
 
-// runs holds what the endpoints have run against what was promised.
+// runs checks the requests that the endpoints ran against the guarantees, and counts them.
 func (c *checker) runs(runners []*standin.Runner) (ran int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -136,7 +136,8 @@
 	return ran
 }
 
-// duties holds the calls of the cloud API against each other.
+// duties checks that calls of the cloud API are consistent: a fencing token has one holder and never
+// decreases, and a usage window is reported once or with equal content.
 func (c *checker) duties(calls []standin.DutyCall) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/soak/daemon.go
+++ b/internal/soak/daemon.go
@@ -17,10 +17,10 @@
 	"github.com/pkg/errors"
 )
 
-// graceTime is how long after SIGTERM a process is killed.
+// graceTime is the time from SIGTERM to SIGKILL.
 const graceTime = 8 * time.Second
 
-// daemon is a process of the product.
+// daemon is a process of the program under test.
 type daemon struct {
 	name     string
 	program  string
@@ -35,18 +35,18 @@
 	ended   chan struct{}
 	planned time.Time // of the last SIGTERM
 	ready   bool
-	hungUp  bool // it was ended by the word of changed settings
+	hungUp  bool // a SIGHUP has terminated the process
 }
 
-// Ports hands out addresses of loopback that are free, each only once: the
-// system may offer a port again as soon as whoever looked has closed it, while
-// the process that it is meant for has not opened it yet. The zero value is ready.
+// Ports allocates free loopback addresses, each only once: the system may assign a port again after
+// the listener that found it is closed and before the intended process opens it. The zero value is
+// ready for use.
 type Ports struct {
 	mu    sync.Mutex
 	taken map[string]bool
 }
 
-// Next returns an address that is free now and was not handed out before.
+// Next returns an address that is free now and that it has not returned before.
 func (p *Ports) Next() (string, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -67,17 +67,17 @@
 	}
 }
 
-// ports are those of all daemons of this process.
+// ports allocates the addresses of all daemons.
 var ports Ports
 
-// newDaemon writes a daemon's settings; seeds are the peers' addresses known.
+// newDaemon returns a daemon and writes its settings file.
 func newDaemon(o Options, i int, store *Proxy, cloud string, first bool) (*daemon, error) {
 	d := &daemon{name: fmt.Sprintf("daemon-%d", i), program: o.Program, store: store}
 	var addrs [3]string
 	for k := range addrs {
 		var err error
 		if addrs[k], err = ports.Next(); err != nil {
-			return nil, errors.Wrap(err, "soak: port")
+			return nil, errors.Wrap(err, "soak: allocate port")
 		}
 	}
 	d.callers, d.checks = addrs[0], addrs[1]
@@ -96,14 +96,14 @@
 		"cloud_api": map[string]any{"address": cloud, "duties": []string{"usage_reporting", "scaling"}, "duty_per_s": 50},
 	})
 	if err != nil {
-		return nil, errors.Wrap(err, "soak: settings")
+		return nil, errors.Wrap(err, "soak: encode settings")
 	}
-	return d, errors.Wrap(os.WriteFile(d.settings, b, 0o600), "soak: settings")
+	return d, errors.Wrap(os.WriteFile(d.settings, b, 0o600), "soak: write settings")
 }
 
 func zoneOf(i int) string { return [...]string{"a", "b"}[i%2] }
 
-// start starts the process, unless it runs.
+// start starts the process unless it is running.
 func (d *daemon) start() error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -112,18 +112,18 @@
 	}
 	out, err := os.OpenFile(d.log, os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o600)
 	if err != nil {
-		return errors.Wrap(err, "soak: log")
+		return errors.Wrap(err, "soak: open log")
 	}
-	defer out.Close() // the process has its own
+	defer out.Close() // the process has its own descriptor
 	cmd := exec.Command(d.program, "entry", "--settings", d.settings)
 	cmd.Stdout, cmd.Stderr = out, out
 	if err := cmd.Start(); err != nil {
-		return errors.Wrap(err, "soak: start")
+		return errors.Wrap(err, "soak: start process")
 	}
 	ended := make(chan struct{})
 	d.cmd, d.ended = cmd, ended
 	go func() {
-		cmd.Wait() // how it ended is in its log
+		cmd.Wait() // the log shows how it ended
 		status, ok := cmd.ProcessState.Sys().(syscall.WaitStatus)
 		d.mu.Lock()
 		defer d.mu.Unlock()
@@ -136,7 +136,7 @@
 	return nil
 }
 
-// signal sends a signal to the process, if it runs.
+// signal sends a signal to the process if it is running; the channel closes when the process ends.
 func (d *daemon) signal(s syscall.Signal) (ended <-chan struct{}) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -148,16 +148,16 @@
 	if s == syscall.SIGTERM {
 		d.planned = time.Now()
 	}
-	d.cmd.Process.Signal(s) // an error means that it has just ended
+	d.cmd.Process.Signal(s) // fails only if the process has just ended
 	return d.ended
 }
 
-// hupAfter is how long after the signal to stop the word of changed settings
-// follows: while requests that were in flight still run.
+// hupAfter is the time from SIGTERM to SIGHUP in a planned stop, short enough that requests are still
+// in flight.
 const hupAfter = 300 * time.Millisecond
 
-// stop ends the process as planned, and by force once its grace is over. A change
-// of the settings falls into the stop, which must not end it early.
+// stop stops the process with SIGTERM, and with SIGKILL after graceTime. It also sends a SIGHUP during
+// the drain, which must not end the process early.
 func (d *daemon) stop() {
 	ended := d.signal(syscall.SIGTERM)
 	select {
@@ -172,17 +172,17 @@
 	}
 }
 
-// kill ends the process at once.
+// kill kills the process.
 func (d *daemon) kill() { <-d.signal(syscall.SIGKILL) }
 
-// lastPlanned returns when the process was last told to stop.
+// lastPlanned returns the time of the last SIGTERM.
 func (d *daemon) lastPlanned() time.Time {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.planned
 }
 
-// look asks for readiness as a balancer does.
+// look polls the readiness endpoint as a load balancer does.
 func (d *daemon) look(c *http.Client) {
 	resp, err := c.Get("http://" + d.checks + "/streambend/readiness")
 	ok := err == nil && resp.StatusCode == http.StatusOK
@@ -194,7 +194,7 @@
 	d.ready = ok
 }
 
-// wasHungUp reports whether the process was ever ended by SIGHUP.
+// wasHungUp reports whether a SIGHUP ever terminated the process.
 func (d *daemon) wasHungUp() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/soak/doc.go
+++ b/internal/soak/doc.go
@@ -1,14 +1,14 @@
 // SPDX-License-Identifier: MIT
 
-// Package soak runs the daemons of the users' platform as processes of their own
-// on loopback, and makes things fail from outside: proxies that delay, reset, cut
-// one way and silence; processes that are paused, killed, stopped and started; a
-// store that misbehaves; a configuration that changes. It checks the promises by
-// what callers and endpoints see.
+// Package soak is a soak test: it runs the daemons of the users' platform as
+// separate processes on loopback and injects faults from outside. Proxies delay,
+// reset or silence connections, in one or both directions; processes are paused,
+// killed, stopped and restarted; the store fails; the configuration changes. It
+// checks the guarantees against what callers and endpoints observe.
 //
 //	r, err := soak.Run(ctx, soak.Options{Seed: 1, Span: 10 * time.Second, Daemons: 4, Program: os.Args[0], Dir: dir})
-//	// r.Broken names each promise that did not hold
+//	// r.Broken lists the violated guarantees
 //
-// The same seed draws the same faults at the same times; what the processes make
-// of them depends on the machine.
+// A seed determines the faults and their times; how the processes react also
+// depends on the machine.
 package soak
--- a/internal/soak/events.go
+++ b/internal/soak/events.go
@@ -13,23 +13,23 @@
 	"streambend.example/platform"
 )
 
-// syscallCont wakes a paused process, which could not end otherwise.
+// syscallCont resumes a paused process, which could not end otherwise.
 const syscallCont = syscall.SIGCONT
 
-// event is something that happens to the system, for a time; its end undoes it.
+// event is a fault or a change that lasts for a time and is then undone.
 type event struct {
 	name  string
-	fault bool // connections may break for it
+	fault bool // connections may break because of it
 	begin func(w *world) (undo func())
 }
 
-// anyDaemon draws one of the daemons.
+// anyDaemon returns a random daemon.
 func (w *world) anyDaemon() *daemon { return w.daemons[w.rng.IntN(len(w.daemons))] }
 
-// anyRunner draws one of the endpoints.
+// anyRunner returns the index of a random endpoint.
 func (w *world) anyRunner() int { return w.rng.IntN(len(w.runners)) }
 
-// storeFault returns an event of the store.
+// storeFault returns an event that injects a fault in the store.
 func storeFault(name string, f standin.RowsFault) event {
 	return event{"store " + name, true, func(w *world) func() {
 		w.store.SetFault(f)
@@ -37,7 +37,7 @@
 	}}
 }
 
-// runnerFault returns an event of one endpoint.
+// runnerFault returns an event that injects a fault in a random endpoint.
 func runnerFault(name string, f standin.RunnerFault) event {
 	return event{"endpoint " + name, true, func(w *world) func() {
 		r := w.runners[w.anyRunner()]
@@ -46,7 +46,7 @@
 	}}
 }
 
-// links returns an event of a proxy before the store or an endpoint.
+// links returns an event that sets the mode of a random proxy in front of the store or an endpoint.
 func links(m Mode) event {
 	return event{"link " + m.String(), true, func(w *world) func() {
 		p := w.anyDaemon().store
@@ -58,7 +58,7 @@
 	}}
 }
 
-// events lists what may happen.
+// events returns all events.
 func events() []event {
 	return []event{
 		{"kill", true, func(w *world) func() {
@@ -114,7 +114,7 @@
 	}
 }
 
-// disturb lets things happen until ctx ends, in series and overlapping.
+// disturb starts random events until ctx ends; they may overlap.
 func (w *world) disturb(ctx context.Context) {
 	list := events()
 	if w.o.Lie {
@@ -172,7 +172,7 @@
 	}
 	order, err := json.Marshal(map[string]any{"service": "plain", "target_version": version, "duration_s": 2})
 	if err != nil {
-		panic(err) // texts and numbers always encode
+		panic(err) // strings and numbers always encode
 	}
 	w.store.Put(platform.CatalogTable, "", "rollout/plain", order)
 	for i := range 2 {
@@ -185,7 +185,7 @@
 	}
 }
 
-// enter writes an endpoint's entry in the store.
+// enter writes the row of an endpoint in the store.
 func (w *world) enter(i int, state string) {
 	r, service := w.runners[i], "engines"
 	if i%2 == 1 {
--- a/internal/soak/ports_test.go
+++ b/internal/soak/ports_test.go
@@ -10,15 +10,15 @@
 	"streambend.example/internal/soak"
 )
 
-// Seed 319 once gave a daemon the same port for callers and for readiness, so
-// that it ended at its start.
+// Guards against a daemon that exits at its start because it got the same port for callers and for
+// readiness, as with seed 319.
 func TestAPortIsHandedOutOnce(t *testing.T) {
 	var p soak.Ports
 	seen := make(map[string]bool)
 	for range 4000 {
 		a, err := p.Next()
 		require.NoError(t, err)
-		require.False(t, seen[a], "%s was handed out before", a)
+		require.False(t, seen[a], "%s was returned before", a)
 		seen[a] = true
 	}
 }
--- a/internal/soak/proxy.go
+++ b/internal/soak/proxy.go
@@ -8,27 +8,27 @@
 	"time"
 )
 
-// Mode is what a Proxy does to the bytes that pass.
+// Mode is the fault that a Proxy injects.
 type Mode int
 
-// The modes of a proxy.
+// Modes of a Proxy.
 const (
 	Pass    Mode = iota
-	Delay        // each piece comes later
-	Silence      // nothing passes, and nobody is told
-	OneWay       // answers do not come back
-	Reset        // connections are reset, new ones too
+	Delay        // each chunk is delayed by delayTime
+	Silence      // drops traffic in both directions without closing connections
+	OneWay       // blocks the direction from the server to the caller
+	Reset        // resets open and new connections
 )
 
-// String returns the mode's name.
+// String returns the name of the mode.
 func (m Mode) String() string {
 	return [...]string{"pass", "delay", "silence", "one-way", "reset"}[m]
 }
 
-// delayTime is what a piece is delayed by.
+// delayTime is the delay per chunk in mode Delay.
 const delayTime = 150 * time.Millisecond
 
-// Proxy stands between a caller and a server on loopback.
+// Proxy is a TCP proxy on loopback that injects faults.
 type Proxy struct {
 	listener net.Listener
 	target   string
@@ -40,7 +40,7 @@
 	closed  bool
 }
 
-// NewProxy starts a proxy before host:port.
+// NewProxy starts a proxy in front of target, which is host:port.
 func NewProxy(target string) (*Proxy, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -54,7 +54,7 @@
 // Address returns host:port.
 func (p *Proxy) Address() string { return p.listener.Addr().String() }
 
-// Set changes the mode. Reset also resets what is open.
+// Set changes the mode. Reset also resets the open connections.
 func (p *Proxy) Set(m Mode) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -68,13 +68,13 @@
 
 func (p *Proxy) resetAll() {
 	for c := range p.conns {
-		c.SetLinger(0) // so that the close is a reset
+		c.SetLinger(0) // makes Close send a reset
 		c.Close()
 	}
 	clear(p.conns)
 }
 
-// Close ends the proxy and its connections.
+// Close stops the proxy and resets its connections.
 func (p *Proxy) Close() {
 	p.listener.Close()
 	p.mu.Lock()
@@ -95,7 +95,7 @@
 	}
 }
 
-// keep takes a connection in, or resets it.
+// keep registers a connection, or resets it and returns false.
 func (p *Proxy) keep(c *net.TCPConn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -143,7 +143,7 @@
 	<-done
 }
 
-// copy passes bytes on until one side ends.
+// copy forwards bytes until one side closes.
 func (p *Proxy) copy(to, from *net.TCPConn, back bool) {
 	buf := make([]byte, 16<<10)
 	for {
@@ -158,13 +158,13 @@
 			}
 		}
 		if err != nil {
-			to.CloseWrite() // what was passed on before is still to be read
+			to.CloseWrite() // the peer can still read what was forwarded
 			return
 		}
 	}
 }
 
-// hold waits until bytes may pass in a direction; false if the proxy has ended.
+// hold waits until bytes may pass in a direction; it returns false if the proxy is closed.
 func (p *Proxy) hold(back bool) bool {
 	for {
 		p.mu.Lock()
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -20,32 +20,33 @@
 	"streambend.example/seam"
 )
 
-// Options say what a soak does.
+// Options configures a soak test.
 type Options struct {
 	Seed    uint64
-	Span    time.Duration // how long requests are sent
+	Span    time.Duration // period during which requests are sent
 	Daemons int
-	Callers int       // that send one request after the other
-	Program string    // the product
-	Dir     string    // for settings and logs
-	Lie     bool      // endpoints say of some requests that they have not run: a known fault, to show that the checks can fail
-	Say     io.Writer // for a person; nil for none
+	Callers int       // number of callers; each sends one request at a time
+	Program string    // path of the program under test
+	Dir     string    // directory for settings and logs
+	Lie     bool      // endpoints report some executed requests as not run, to verify that the checks can fail
+	Say     io.Writer // human-readable progress; nil for none
 }
 
-// Report is what a soak has found.
+// Report is the result of a soak test.
 type Report struct {
 	Seed    uint64
 	Asked   int
 	Ran     int
-	Answers map[string]int // by status
-	Events  map[string]int // faults and changes, by name
-	Broken  []string       // promises that did not hold
+	Answers map[string]int // number of responses by status or error
+	Events  map[string]int // number of injected faults and changes by name
+	Broken  []string       // violated guarantees
 }
 
-// host is the one that all routes have.
+// host is the host name of all routes.
 const host = "soak.example"
 
-// The kinds of requests: as a digest, an explainer, an unsafe and a safe call.
+// kinds are the kinds of requests: two streams, of which one is resumable, and an unsafe and a safe
+// plain request.
 var kinds = []kind{
 	{"/digest/", http.MethodPost, true, 12},
 	{"/explain/", http.MethodPost, false, 8},
@@ -53,7 +54,7 @@
 	{"/read/", http.MethodGet, false, 0},
 }
 
-// world is the system under test and what surrounds it.
+// world holds the system under test and the stand-ins around it.
 type world struct {
 	o       Options
 	rng     *rand.Rand
@@ -61,22 +62,22 @@
 	store   *standin.Rows
 	api     *standin.DutyAPI
 	daemons []*daemon
-	client  *http.Client // of the balancer
+	client  *http.Client // for readiness checks
 	began   time.Time
 
 	mu      sync.Mutex
 	runners []*standin.Runner
-	proxies []*Proxy          // before the runners
-	later   []*standin.Runner // of versions that were ordered since
-	stray   *standin.Runner   // of a version that nobody orders
+	proxies []*Proxy          // in front of the runners, by the same index
+	later   []*standin.Runner // of versions rolled out during the run
+	stray   *standin.Runner   // of a version that no rollout orders
 	events  map[string]int
 	version int64
 	keys    []string
-	dead    map[string]time.Time // key to when it was taken away
+	dead    map[string]time.Time // API key to the time of its revocation
 	wg      sync.WaitGroup
 }
 
-// Run runs a soak. The error tells that it could not be run.
+// Run runs a soak test. An error means that it could not be run.
 func Run(ctx context.Context, o Options) (*Report, error) {
 	w := &world{
 		o: o, rng: rand.New(rand.NewPCG(o.Seed, 7)), check: newChecker(), events: make(map[string]int),
@@ -114,15 +115,15 @@
 	}
 }
 
-// setUp starts everything and waits until all daemons are ready.
+// setUp starts the stand-ins and the daemons, and waits until all daemons are ready.
 func (w *world) setUp() error {
 	w.began = time.Now()
 	var err error
 	if w.store, err = standin.NewRows(seam.TCP{}, "127.0.0.1:0"); err != nil {
-		return errors.Wrap(err, "soak: store")
+		return errors.Wrap(err, "soak: start store")
 	}
 	if w.api, err = standin.NewDutyAPI(seam.TCP{}, "127.0.0.1:0"); err != nil {
-		return errors.Wrap(err, "soak: cloud")
+		return errors.Wrap(err, "soak: start cloud API")
 	}
 	w.putCatalog()
 	for i := range 6 {
@@ -156,10 +157,10 @@
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
-	return errors.New("soak: the daemons do not get ready")
+	return errors.New("soak: daemons not ready in time")
 }
 
-// addRunner starts an endpoint: even ones are engines, odd ones plain.
+// addRunner starts an endpoint and its proxy: an engine if i is even, else a plain service.
 func (w *world) addRunner(i int) error {
 	service, events := "engines", 1
 	if i%2 == 1 {
@@ -182,7 +183,7 @@
 	return nil
 }
 
-// addVersion starts an endpoint of the plain service with a version of its software.
+// addVersion starts an endpoint of the plain service with a software version.
 func (w *world) addVersion(id, version string, f standin.RunnerFault) (*standin.Runner, error) {
 	r, err := standin.NewRunner(seam.TCP{}, "127.0.0.1:0", id, 0, 10*time.Millisecond)
 	if err != nil {
@@ -194,14 +195,14 @@
 	return r, nil
 }
 
-// addStray starts an endpoint of a version that nobody orders. The daemons know the service's own by
-// then.
+// addStray starts an endpoint of a version that no rollout orders. It is called once the daemons know
+// the current version of the service.
 func (w *world) addStray() (err error) {
 	w.stray, err = w.addVersion("i-stray", "v0", standin.RunnerFault{})
 	return err
 }
 
-// putCatalog writes the next version of the configuration.
+// putCatalog writes a new version of the configuration.
 func (w *world) putCatalog() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -227,12 +228,12 @@
 		"tenants": []any{map[string]any{"name": "team", "api_keys": w.keys, "unit": "tokens", "plain_tokens": 200}},
 	})
 	if err != nil {
-		panic(err) // maps of texts and numbers always encode
+		panic(err) // maps of strings and numbers always encode
 	}
 	w.store.Put(platform.CatalogTable, "", "config", b)
 }
 
-// balance looks at the daemons' readiness.
+// balance polls the readiness of the daemons until ctx ends.
 func (w *world) balance(ctx context.Context) {
 	for ctx.Err() == nil {
 		for _, d := range w.daemons {
@@ -242,10 +243,10 @@
 	}
 }
 
-// deadAfter is how long after a key was taken away no daemon may take it.
+// deadAfter is the time after the revocation of a key from which every daemon must reject it.
 const deadAfter = 5 * time.Second
 
-// key returns a key to send and whether it must be refused by now.
+// key returns a random API key and whether every daemon must reject it by now.
 func (w *world) key(rng *rand.Rand) (key string, dead bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -257,8 +258,8 @@
 	return w.keys[rng.IntN(len(w.keys))], false
 }
 
-// call sends one request after the other. It stays with a daemon, also when that
-// is stopping, until a connection breaks or it has sent enough there.
+// call sends one request at a time. It stays with a daemon, even one that is stopping, until a
+// connection breaks or it has sent 30 requests.
 func (w *world) call(ctx context.Context, caller int, rng *rand.Rand) {
 	client := &http.Client{Timeout: 8 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 2}}
 	defer client.CloseIdleConnections()
@@ -286,7 +287,7 @@
 	return w.daemons[start]
 }
 
-// one sends a request and checks its answer; false if the connection broke.
+// one sends a request and checks its response; it returns false if the connection broke.
 func (w *world) one(client *http.Client, d *daemon, id string, k kind, rng *rand.Rand) bool {
 	key, dead := w.key(rng)
 	var body io.Reader
@@ -295,9 +296,9 @@
 	}
 	req, err := http.NewRequest(k.method, "http://"+d.callers+k.path+id, body)
 	if err != nil {
-		panic(err) // the address is our own
+		panic(err) // the URL is always valid
 	}
-	req.GetBody = nil // a request is sent once, so that its id is counted once
+	req.GetBody = nil // prevents a resend by the client, which would count the id twice
 	req.Host = host
 	standin.CallerHead{
 		ID: id, Key: key, Wait: 5 * time.Second, Tokens: "900,60",
@@ -316,7 +317,7 @@
 	return err == nil
 }
 
-// close ends all that was started.
+// close stops all processes, proxies and stand-ins.
 func (w *world) close() {
 	for _, d := range w.daemons {
 		d.signal(syscallCont)
