--- a/internal/standin/cloud.go
+++ b/internal/standin/cloud.go
@@ -30,13 +30,13 @@
 	Boot   time.Duration // from a start order until the box is live
 	Lag    time.Duration // delay of the box list
 
-	mu      sync.Mutex
-	prices  []seam.Price
-	boxes   map[string]*cloudBox
-	tokens  map[string]string
-	refuse  map[string]bool // keyed by zone/class/reclaimable
-	history []listed
-	refused int
+	mu            sync.Mutex
+	prices        []seam.Price
+	boxes         map[string]*cloudBox
+	tokens        map[string]string
+	refusedKinds  map[string]bool // keyed by zone/class/reclaimable
+	history       []boxListSnapshot
+	refusedStarts int
 }
 
 type cloudBox struct {
@@ -46,7 +46,7 @@
 	ended   time.Time
 }
 
-type listed struct {
+type boxListSnapshot struct {
 	at   time.Time
 	page seam.BoxPage
 }
@@ -55,11 +55,11 @@
 func NewCloud(prices []seam.Price) *Cloud {
 	return &Cloud{
 		prices: prices, boxes: make(map[string]*cloudBox),
-		tokens: make(map[string]string), refuse: make(map[string]bool),
+		tokens: make(map[string]string), refusedKinds: make(map[string]bool),
 	}
 }
 
-func slotName(zone, class string, reclaimable bool) string {
+func boxKindKey(zone, class string, reclaimable bool) string {
 	return fmt.Sprintf("%s/%s/%t", zone, class, reclaimable)
 }
 
@@ -67,14 +67,14 @@
 func (c *Cloud) Refuse(zone, class string, reclaimable, on bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.refuse[slotName(zone, class, reclaimable)] = on
+	c.refusedKinds[boxKindKey(zone, class, reclaimable)] = on
 }
 
 // Refused returns the number of refused start orders.
 func (c *Cloud) Refused() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.refused
+	return c.refusedStarts
 }
 
 // boxName derives the ID of a box from the token of its start order rather than from arrival order:
@@ -88,8 +88,8 @@
 	if id, ok := c.tokens[o.Token]; ok {
 		return c.boxes[id].box, true
 	}
-	if c.refuse[slotName(o.Zone, o.Class, o.Reclaimable)] {
-		c.refused++
+	if c.refusedKinds[boxKindKey(o.Zone, o.Class, o.Reclaimable)] {
+		c.refusedStarts++
 		return seam.Box{}, false
 	}
 	b := seam.Box{
@@ -178,7 +178,7 @@
 		p.Boxes = append(p.Boxes, cb.box)
 	}
 	sort.Slice(p.Boxes, func(i, j int) bool { return p.Boxes[i].ID < p.Boxes[j].ID })
-	c.history = append(c.history, listed{at: now, page: p})
+	c.history = append(c.history, boxListSnapshot{at: now, page: p})
 }
 
 // List returns the box list as it was Lag ago, without boxes if its sequence number is since.
--- a/internal/standin/duty.go
+++ b/internal/standin/duty.go
@@ -39,10 +39,10 @@
 	server *http.Server
 	addr   string
 
-	mu    sync.Mutex
-	calls []DutyCall
-	dry   bool // no reclaimable capacity: such orders get 409
-	lose  bool // accepts calls but responds with 500
+	mu            sync.Mutex
+	calls         []DutyCall
+	noReclaimable bool // no reclaimable capacity: such orders get 409
+	loseResponses bool // accepts calls but responds with 500
 }
 
 // NewDutyAPI starts a server for the API at an address.
@@ -63,14 +63,14 @@
 func (a *DutyAPI) SetDry(dry bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.dry = dry
+	a.noReclaimable = dry
 }
 
 // SetLose sets whether calls take effect but get an error response.
 func (a *DutyAPI) SetLose(lose bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.lose = lose
+	a.loseResponses = lose
 }
 
 // Calls returns the accepted calls of a path.
@@ -96,12 +96,12 @@
 	c := DutyCall{Path: r.URL.Path, Holder: r.Header.Get("Streambend-Duty-Holder"), Fence: fence, Body: string(body)}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.dry && c.Path == "/scale" && c.Order().Spot {
+	if a.noReclaimable && c.Path == "/scale" && c.Order().Spot {
 		w.WriteHeader(http.StatusConflict)
 		return
 	}
 	a.calls = append(a.calls, c)
-	if a.lose {
+	if a.loseResponses {
 		w.WriteHeader(http.StatusInternalServerError)
 	}
 }
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -41,33 +41,33 @@
 
 // Engine is a model engine with continuous batching.
 type Engine struct {
-	cfg    EngineConfig
-	client *http.Client
-	name   string
-	ledger *Ledger
-	server *http.Server
-	addr   string
-	done   chan struct{}
-	prompt chan struct{} // semaphore: one prompt is prefilled at a time
-
-	mu       sync.Mutex
-	fault    EngineFault
-	noticed  time.Time
-	running  int
-	waiting  waitHeap
-	arrivals int
-	cache    *simplelru.LRU[uint64, string] // block hash to cache key
-	held     map[uint64]int                 // reference counts of blocks that running requests use
-	reports  []loadReport
-	events   []cacheEvent
-	epoch    int64
+	cfg         EngineConfig
+	client      *http.Client
+	name        string
+	ledger      *Ledger
+	server      *http.Server
+	addr        string
+	done        chan struct{}
+	prefillSlot chan struct{} // semaphore: one prompt is prefilled at a time
+
+	mu        sync.Mutex
+	fault     EngineFault
+	noticedAt time.Time
+	running   int
+	waiting   waitHeap
+	arrivals  int
+	cache     *simplelru.LRU[uint64, string] // block hash to cache key
+	blockRefs map[uint64]int                 // reference counts of blocks that running requests use
+	reports   []loadReport
+	events    []cacheEvent
+	epoch     int64
 }
 
 // NewEngine starts an engine on an unused port.
 func NewEngine(n seam.Network, name string, cfg EngineConfig, ledger *Ledger) *Engine {
-	e := &Engine{client: seam.HTTPClient(n, 0), cfg: cfg, name: name, ledger: ledger, done: make(chan struct{}), prompt: make(chan struct{}, 1)}
-	e.held = make(map[uint64]int)
-	e.cache, _ = simplelru.NewLRU(cfg.CacheBlocks, func(_ uint64, key string) { e.publish(key) })
+	e := &Engine{client: seam.HTTPClient(n, 0), cfg: cfg, name: name, ledger: ledger, done: make(chan struct{}), prefillSlot: make(chan struct{}, 1)}
+	e.blockRefs = make(map[uint64]int)
+	e.cache, _ = simplelru.NewLRU(cfg.CacheBlocks, func(_ uint64, key string) { e.publishEviction(key) })
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /v1/completions", e.serveCompletion)
 	mux.HandleFunc("POST /v1/chat/completions", e.serveCompletion)
@@ -97,7 +97,7 @@
 func (e *Engine) Notice(now time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.noticed = now
+	e.noticedAt = now
 }
 
 // Kill stops the engine and closes its connections.
@@ -153,19 +153,19 @@
 	return w
 }
 
-// enter waits for a slot in the batch, in order of priority, and reports whether it got one.
-func (e *Engine) enter(ctx context.Context, priority int) bool {
+// acquireSlot waits for a slot in the batch, in order of priority, and reports whether it got one.
+func (e *Engine) acquireSlot(ctx context.Context, priority int) bool {
 	e.mu.Lock()
 	if e.running < e.cfg.Batch {
 		e.running++
-		e.report()
+		e.recordLoad()
 		e.mu.Unlock()
 		return true
 	}
 	e.arrivals++
 	w := &waiter{priority: priority, order: e.arrivals, ready: make(chan struct{})}
 	heap.Push(&e.waiting, w)
-	e.report()
+	e.recordLoad()
 	e.mu.Unlock()
 	select {
 	case <-w.ready:
@@ -178,29 +178,29 @@
 	if w.index >= 0 {
 		heap.Remove(&e.waiting, w.index)
 	} else {
-		e.next()
+		e.passSlot()
 	}
 	return false
 }
 
-func (e *Engine) leave() {
+func (e *Engine) releaseSlot() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.next()
+	e.passSlot()
 }
 
-// next passes a freed batch slot to the first waiter, if any; the caller holds the lock.
-func (e *Engine) next() {
+// passSlot passes a freed batch slot to the first waiter, if any; the caller holds the lock.
+func (e *Engine) passSlot() {
 	if len(e.waiting) > 0 {
 		w := heap.Pop(&e.waiting).(*waiter)
 		close(w.ready)
 	} else {
 		e.running--
 	}
-	e.report()
+	e.recordLoad()
 }
 
-func (e *Engine) step() time.Duration {
+func (e *Engine) tokenTime() time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	full := float64(e.running) / float64(e.cfg.Batch)
--- a/internal/standin/kv.go
+++ b/internal/standin/kv.go
@@ -28,8 +28,8 @@
 	Events  []cacheEvent `json:"events,omitempty"`
 }
 
-// report appends the current load to the reports; the caller holds the lock.
-func (e *Engine) report() {
+// recordLoad appends the current load to the reports; the caller holds the lock.
+func (e *Engine) recordLoad() {
 	e.reports = append(e.reports, loadReport{
 		At: time.Now(), Running: e.running, Waiting: len(e.waiting), Batch: e.cfg.Batch,
 	})
@@ -80,9 +80,9 @@
 	var state uint64
 	e.mu.Lock()
 	for i, t := range o.Tokens {
-		state = fold(state, t)
+		state = extendHash(state, t)
 		if (i+1)%BlockTokens == 0 {
-			if !e.has(state) {
+			if !e.hasBlock(state) {
 				break
 			}
 			kv.Blocks = append(kv.Blocks, state)
@@ -116,20 +116,20 @@
 		return
 	}
 	for _, h := range slices.Backward(kv.Blocks) {
-		e.store(h, o.Key)
+		e.cacheBlock(h, o.Key)
 	}
 	fmt.Fprintf(w, `{"tokens":%d}`, moved)
 }
 
-// order is an order to load a model or to change role; its epoch is the fencing token.
-type order struct {
+// engineOrder is an order to load a model or to change role; its epoch is the fencing token.
+type engineOrder struct {
 	Epoch int64  `json:"epoch"`
 	Model string `json:"model"`
 	Role  string `json:"role"`
 }
 
 func (e *Engine) serveOrder(w http.ResponseWriter, r *http.Request) {
-	var o order
+	var o engineOrder
 	json.NewDecoder(r.Body).Decode(&o)
 	e.mu.Lock()
 	stale := o.Epoch < e.epoch
@@ -137,7 +137,7 @@
 		e.epoch = o.Epoch
 	}
 	e.mu.Unlock()
-	e.ledger.order(stale)
+	e.ledger.countOrder(stale)
 	if stale && e.cfg.ChecksFence {
 		w.WriteHeader(http.StatusConflict)
 	}
--- a/internal/standin/ledger.go
+++ b/internal/standin/ledger.go
@@ -26,8 +26,8 @@
 	return ids
 }
 
-// fold extends the running hash of a context by one token.
-func fold(state uint64, token int) uint64 {
+// extendHash extends the running hash of a context by one token.
+func extendHash(state uint64, token int) uint64 {
 	x := state ^ (uint64(token) + 0x9e3779b97f4a7c15 + state<<6 + state>>2)
 	x ^= x >> 33
 	x *= 0xff51afd7ed558ccd
@@ -38,21 +38,21 @@
 func contextHash(tokens []int) uint64 {
 	var h uint64
 	for _, t := range tokens {
-		h = fold(h, t)
+		h = extendHash(h, t)
 	}
 	return h
 }
 
-// next returns the token that follows a context; it is the same on every engine.
-func next(state uint64) int { return int(state>>7) % vocabulary }
+// nextToken returns the token that follows a context; it is the same on every engine.
+func nextToken(state uint64) int { return int(state>>7) % vocabulary }
 
 // Want returns the n tokens of the complete response to a prompt.
 func Want(prompt string, n int) []int {
 	state := contextHash(Tokens(prompt))
 	out := make([]int, n)
 	for i := range out {
-		out[i] = next(state)
-		state = fold(state, out[i])
+		out[i] = nextToken(state)
+		state = extendHash(state, out[i])
 	}
 	return out
 }
@@ -75,7 +75,7 @@
 // reads it.
 type Ledger struct {
 	mu       sync.Mutex
-	t        Tally
+	tally    Tally
 	begun    map[string]int
 	computed map[uint64]bool
 	served   map[string]int // engine to the number of requests begun
@@ -90,7 +90,7 @@
 func (l *Ledger) Tally() Tally {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.t
+	return l.tally
 }
 
 // Served returns the number of requests that an endpoint has begun.
@@ -107,49 +107,49 @@
 	return l.begun[id]
 }
 
-func (l *Ledger) begin(endpoint, id string, unrepeatable bool) {
+func (l *Ledger) countBegin(endpoint, id string, unrepeatable bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.served[endpoint]++
-	l.t.Began++
+	l.tally.Began++
 	l.begun[id]++
 	if unrepeatable && l.begun[id] == 2 {
-		l.t.RanTwice++
+		l.tally.RanTwice++
 	}
 }
 
-func (l *Ledger) leaving(d time.Duration) {
+func (l *Ledger) countWhileLeaving(d time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.t.LeavingMax = max(l.t.LeavingMax, d)
+	l.tally.LeavingMax = max(l.tally.LeavingMax, d)
 }
 
-func (l *Ledger) order(stale bool) {
+func (l *Ledger) countOrder(stale bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.t.Orders++
+	l.tally.Orders++
 	if stale {
-		l.t.StaleOrders++
+		l.tally.StaleOrders++
 	}
 }
 
-// block counts a block of tokens that was computed for a request.
-func (l *Ledger) block(id string, hash uint64) {
+// countBlock counts a block of tokens that was computed for a request.
+func (l *Ledger) countBlock(id string, hash uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.computed[hash] {
-		l.t.Recomputed += BlockTokens
+		l.tally.Recomputed += BlockTokens
 		if l.begun[id] > 1 {
-			l.t.Repeated += BlockTokens
+			l.tally.Repeated += BlockTokens
 		}
 	}
 	l.computed[hash] = true
 }
 
-func (l *Ledger) tokens(generated, prefilled, cached int) {
+func (l *Ledger) countTokens(generated, prefilled, cached int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.t.Generated += generated
-	l.t.Prefilled += prefilled
-	l.t.Cached += cached
+	l.tally.Generated += generated
+	l.tally.Prefilled += prefilled
+	l.tally.Cached += cached
 }
--- a/internal/standin/link.go
+++ b/internal/standin/link.go
@@ -12,23 +12,25 @@
 	"streambend.example/seam"
 )
 
-// linkPiece is the chunk size in bytes in which connections share a link.
-const linkPiece = 16 << 10
+// linkChunkSize is the chunk size in bytes in which connections share a link.
+const linkChunkSize = 16 << 10
 
-// linkPatience is the timeout of a dial over a cut link.
-const linkPatience = 400 * time.Millisecond
+// cutDialTimeout is the timeout of a dial over a cut link.
+const cutDialTimeout = 400 * time.Millisecond
 
 // Link simulates the network link of a box. It limits the rate of each direction, and the
 // connections of the box take turns chunk by chunk.
 type Link struct {
-	out, in lane
+	out, in linkDirection
 
 	mu  sync.Mutex
 	cut []string
 }
 
 // NewLink returns a link with a rate in bytes per second for each direction.
-func NewLink(rate float64) *Link { return &Link{out: lane{rate: rate}, in: lane{rate: rate}} }
+func NewLink(rate float64) *Link {
+	return &Link{out: linkDirection{rate: rate}, in: linkDirection{rate: rate}}
+}
 
 // Cut drops all traffic to and from addresses with one of these suffixes. Connections that are
 // open stay open but carry no more data.
@@ -38,7 +40,7 @@
 	l.cut = append(l.cut, endings...)
 }
 
-func (l *Link) silent(address string) bool {
+func (l *Link) isCut(address string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, e := range l.cut {
@@ -50,25 +52,25 @@
 }
 
 // Over returns n as seen from behind the link.
-func (l *Link) Over(n seam.Network) seam.Network { return linked{n, l} }
+func (l *Link) Over(n seam.Network) seam.Network { return linkedNetwork{n, l} }
 
-// lane is one direction of a link.
-type lane struct {
+// linkDirection is one direction of a link.
+type linkDirection struct {
 	rate float64
 
-	mu   sync.Mutex
-	free time.Time // when the bytes accepted so far will have been sent
+	mu     sync.Mutex
+	freeAt time.Time // when the bytes accepted so far will have been sent
 }
 
-// pass waits until n bytes have been sent or their connection is closed.
-func (l *lane) pass(n int, closed chan struct{}) {
+// transmit waits until n bytes have been sent or their connection is closed.
+func (l *linkDirection) transmit(n int, closed chan struct{}) {
 	l.mu.Lock()
 	now := time.Now()
-	if l.free.Before(now) {
-		l.free = now
+	if l.freeAt.Before(now) {
+		l.freeAt = now
 	}
-	l.free = l.free.Add(time.Duration(float64(n) / l.rate * float64(time.Second)))
-	wait := l.free.Sub(now)
+	l.freeAt = l.freeAt.Add(time.Duration(float64(n) / l.rate * float64(time.Second)))
+	wait := l.freeAt.Sub(now)
 	l.mu.Unlock()
 	if wait <= 0 {
 		return
@@ -84,21 +86,21 @@
 	}
 }
 
-type linked struct {
+type linkedNetwork struct {
 	seam.Network
 	link *Link
 }
 
 // Listen implements seam.Network.
-func (n linked) Listen(address string) (net.Listener, error) {
+func (n linkedNetwork) Listen(address string) (net.Listener, error) {
 	l, err := n.Network.Listen(address)
 	return linkedListener{l, n.link, address}, err
 }
 
 // Dial implements seam.Network.
-func (n linked) Dial(ctx context.Context, network, address string) (net.Conn, error) {
-	if n.link.silent(address) {
-		ctx, cancel := context.WithTimeout(ctx, linkPatience)
+func (n linkedNetwork) Dial(ctx context.Context, network, address string) (net.Conn, error) {
+	if n.link.isCut(address) {
+		ctx, cancel := context.WithTimeout(ctx, cutDialTimeout)
 		defer cancel()
 		<-ctx.Done()
 		return nil, ctx.Err()
@@ -147,9 +149,9 @@
 func (c linkedConn) Write(b []byte) (int, error) {
 	done := 0
 	for done < len(b) {
-		piece := b[done:min(done+linkPiece, len(b))]
-		c.link.out.pass(len(piece), c.closed)
-		if c.link.silent(c.address) {
+		piece := b[done:min(done+linkChunkSize, len(b))]
+		c.link.out.transmit(len(piece), c.closed)
+		if c.link.isCut(c.address) {
 			<-c.closed
 			return done, net.ErrClosed
 		}
@@ -164,11 +166,11 @@
 
 // Read implements net.Conn.
 func (c linkedConn) Read(b []byte) (int, error) {
-	n, err := c.Conn.Read(b[:min(linkPiece, len(b))])
-	if c.link.silent(c.address) {
+	n, err := c.Conn.Read(b[:min(linkChunkSize, len(b))])
+	if c.link.isCut(c.address) {
 		<-c.closed
 		return 0, net.ErrClosed
 	}
-	c.link.in.pass(n, c.closed)
+	c.link.in.transmit(n, c.closed)
 	return n, err
 }
--- a/internal/standin/memory.go
+++ b/internal/standin/memory.go
@@ -55,8 +55,8 @@
 	return nil
 }
 
-// loses counts a write and reports whether its response is lost.
-func (s *Faults) loses() bool {
+// losesResponse counts a write and reports whether its response is lost.
+func (s *Faults) losesResponse() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.writes++
@@ -139,7 +139,7 @@
 	if err := m.apply(nonce, writes); err != nil {
 		return err
 	}
-	if m.Faults.loses() {
+	if m.Faults.losesResponse() {
 		return errFault
 	}
 	return nil
@@ -209,7 +209,7 @@
 		m.objs = make(map[string][]byte)
 	}
 	m.objs[name] = value
-	if m.Faults.loses() {
+	if m.Faults.losesResponse() {
 		return errFault
 	}
 	return nil
--- a/internal/standin/plain.go
+++ b/internal/standin/plain.go
@@ -21,10 +21,10 @@
 	server *http.Server
 	addr   string
 
-	mu      sync.Mutex
-	noticed time.Time
-	running int
-	fault   EngineFault
+	mu        sync.Mutex
+	noticedAt time.Time
+	running   int
+	fault     EngineFault
 }
 
 // NewPlain starts a plain service whose requests take the given time.
@@ -44,7 +44,7 @@
 func (p *Plain) Notice(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.noticed = now
+	p.noticedAt = now
 }
 
 // Kill stops the service and closes its connections.
@@ -65,14 +65,14 @@
 
 func (p *Plain) serve(w http.ResponseWriter, r *http.Request) {
 	p.mu.Lock()
-	noticed, f := p.noticed, p.fault
+	noticed, f := p.noticedAt, p.fault
 	p.mu.Unlock()
 	if f.Refuse {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
 	if !noticed.IsZero() {
-		p.ledger.leaving(time.Since(noticed))
+		p.ledger.countWhileLeaving(time.Since(noticed))
 	}
 	if body, _ := io.ReadAll(r.Body); f.CrashOn != "" && strings.Contains(string(body), f.CrashOn) {
 		p.Kill()
@@ -80,7 +80,7 @@
 	}
 	began := time.Now()
 	id := r.Header.Get("X-Caller-Request")
-	p.ledger.begin(p.addr, id, r.Method == http.MethodPost)
+	p.ledger.countBegin(p.addr, id, r.Method == http.MethodPost)
 	p.add(1)
 	defer p.add(-1)
 	select {
--- a/internal/standin/rows.go
+++ b/internal/standin/rows.go
@@ -35,13 +35,13 @@
 	addr   string
 	began  time.Time
 
-	mu      sync.Mutex
-	fault   RowsFault
-	version int64
-	rows    map[rowKey]storedRow
-	forgot  int64 // the change feed holds no changes up to this version
-	wake    chan struct{}
-	calls   map[string]int
+	mu          sync.Mutex
+	fault       RowsFault
+	version     int64
+	rows        map[rowKey]storedRow
+	truncatedAt int64 // the change feed holds no changes up to this version
+	wake        chan struct{}
+	calls       map[string]int
 }
 
 type rowKey struct{ table, part, key string }
@@ -78,9 +78,9 @@
 func NewRows(n seam.Network, address string) (*Rows, error) {
 	s := &Rows{began: time.Now(), version: 1, rows: make(map[rowKey]storedRow), wake: make(chan struct{}), calls: make(map[string]int)}
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /streambend/rows-get", s.faulty(s.serveGet))
-	mux.HandleFunc("GET /streambend/rows-feed", s.faulty(s.serveFeed))
-	mux.HandleFunc("POST /streambend/rows-tx", s.faulty(s.serveTx))
+	mux.HandleFunc("GET /streambend/rows-get", s.withFaults(s.serveGet))
+	mux.HandleFunc("GET /streambend/rows-feed", s.withFaults(s.serveFeed))
+	mux.HandleFunc("POST /streambend/rows-tx", s.withFaults(s.serveTx))
 	var err error
 	s.server, s.addr, err = listenAt(n, address, mux)
 	return s, err
@@ -100,8 +100,8 @@
 	s.notify() // long polls in progress see the new faults
 }
 
-// turnsAway reports whether a request gets 503; the caller holds the lock.
-func (s *Rows) turnsAway(r *http.Request) bool {
+// rejects reports whether a request gets 503; the caller holds the lock.
+func (s *Rows) rejects(r *http.Request) bool {
 	return s.fault.Busy || s.fault.Away[r.Header.Get(daemonHeader)]
 }
 
@@ -132,7 +132,7 @@
 func (s *Rows) Forget() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.forgot = s.version
+	s.truncatedAt = s.version
 	for k, r := range s.rows {
 		if r.removed {
 			delete(s.rows, k)
@@ -158,13 +158,13 @@
 	s.wake = make(chan struct{})
 }
 
-// faulty wraps a handler with the injected faults.
-func (s *Rows) faulty(h func(w http.ResponseWriter, r *http.Request) (int, any)) http.HandlerFunc {
+// withFaults wraps a handler with the injected faults.
+func (s *Rows) withFaults(h func(w http.ResponseWriter, r *http.Request) (int, any)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		s.mu.Lock()
 		f := s.fault
 		s.calls[r.URL.Path]++
-		away := s.turnsAway(r)
+		away := s.rejects(r)
 		s.mu.Unlock()
 		if away {
 			w.WriteHeader(http.StatusServiceUnavailable)
@@ -219,15 +219,15 @@
 	q := r.URL.Query()
 	after, _ := strconv.ParseInt(q.Get("after_revision"), 10, 64) // the adapter always sends a number
 	wait, _ := strconv.Atoi(q.Get("wait_ms"))
-	// time.AfterFunc as in lane.pass: the channel of a time.Timer crashes the race detector in
-	// virtual time.
+	// time.AfterFunc as in linkDirection.transmit: the channel of a time.Timer crashes the race
+	// detector in virtual time.
 	over := make(chan struct{})
 	defer time.AfterFunc(max(time.Duration(wait)*time.Millisecond, clock.LeastTimer), func() { close(over) }).Stop()
 	last := false // the wait has expired
 	for {
 		s.mu.Lock()
 		wake := s.wake
-		gone, away, silent := after < s.forgot, s.turnsAway(r), s.fault.Silent
+		gone, away, silent := after < s.truncatedAt, s.rejects(r), s.fault.Silent
 		rows := s.changes(q.Get("table"), after)
 		p := s.page(rows)
 		s.mu.Unlock()
--- a/internal/standin/runner.go
+++ b/internal/standin/runner.go
@@ -60,10 +60,10 @@
 	server *http.Server
 	addr   string
 
-	mu    sync.Mutex
-	fault RunnerFault
-	ran   []Ran
-	came  []Arrival
+	mu       sync.Mutex
+	fault    RunnerFault
+	ran      []Ran
+	arrivals []Arrival
 }
 
 // NewRunner starts a server for a runner at an address.
@@ -125,7 +125,7 @@
 func (r *Runner) Arrivals() []Arrival {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return append([]Arrival(nil), r.came...)
+	return append([]Arrival(nil), r.arrivals...)
 }
 
 // Came returns the arrival times of the received requests.
@@ -139,9 +139,9 @@
 // Response headers by which a runner announces its rate limit in requests per second, that it is
 // leaving, and for how many seconds callers should send nothing.
 const (
-	LimitHeader   = "Server-Limit"
-	LeavingHeader = "Server-Leaving"
-	restHeader    = "Retry-After"
+	LimitHeader      = "Server-Limit"
+	LeavingHeader    = "Server-Leaving"
+	retryAfterHeader = "Retry-After"
 )
 
 func (r *Runner) serve(w http.ResponseWriter, q *http.Request) {
@@ -152,7 +152,7 @@
 	r.mu.Lock()
 	f := r.fault
 	id := q.Header.Get("Streambend-Request-Id")
-	r.came = append(r.came, Arrival{id, time.Now()})
+	r.arrivals = append(r.arrivals, Arrival{id, time.Now()})
 	r.mu.Unlock()
 	h := w.Header()
 	h["Date"] = nil // so that a test sees only the headers that the code under test adds
@@ -171,7 +171,7 @@
 	case f.NotRun:
 		h.Set("Streambend-Not-Executed", "1")
 		if f.Rest != "" {
-			h.Set(restHeader, f.Rest)
+			h.Set(retryAfterHeader, f.Rest)
 		}
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
@@ -189,7 +189,7 @@
 		panic(http.ErrAbortHandler)
 	case f.Mute:
 		<-q.Context().Done()
-		r.left(at)
+		r.recordDisconnect(at)
 		return
 	case f.Fail, f.FailEach > 0 && at%f.FailEach == 0:
 		w.WriteHeader(http.StatusInternalServerError)
@@ -198,16 +198,16 @@
 	case f.OtherID:
 		h.Set("Streambend-Request-Id", "another")
 	}
-	if n := r.eventsOf(q.URL.Path); n > 0 {
+	if n := r.eventsFor(q.URL.Path); n > 0 {
 		r.stream(w, q, f, at, n)
 		return
 	}
-	time.Sleep(f.paced(r.Pace))
-	r.whole(w, f, "answer to "+id)
+	time.Sleep(f.slowed(r.Pace))
+	r.respond(w, f, "answer to "+id)
 }
 
-// paced returns a duration scaled by Slower.
-func (f RunnerFault) paced(usual time.Duration) time.Duration {
+// slowed returns a duration scaled by Slower.
+func (f RunnerFault) slowed(usual time.Duration) time.Duration {
 	return time.Duration(max(f.Slower, 1)) * usual
 }
 
@@ -218,13 +218,13 @@
 	return len(r.ran) - 1
 }
 
-func (r *Runner) left(at int) {
+func (r *Runner) recordDisconnect(at int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.ran[at].Left = true
 }
 
-func (r *Runner) whole(w http.ResponseWriter, f RunnerFault, text string) {
+func (r *Runner) respond(w http.ResponseWriter, f RunnerFault, text string) {
 	switch {
 	case f.CutAnswer:
 		w.Header().Set("Content-Length", strconv.Itoa(len(text)+10))
@@ -246,8 +246,8 @@
 	}
 }
 
-// eventsOf returns the number of events in the response to a path.
-func (r *Runner) eventsOf(path string) int {
+// eventsFor returns the number of events in the response to a path.
+func (r *Runner) eventsFor(path string) int {
 	for prefix, n := range r.ByPath {
 		if strings.HasPrefix(path, prefix) {
 			return n
@@ -269,9 +269,9 @@
 		}
 		select {
 		case <-q.Context().Done():
-			r.left(at)
+			r.recordDisconnect(at)
 			return
-		case <-time.After(f.paced(r.Pace)):
+		case <-time.After(f.slowed(r.Pace)):
 		}
 		fmt.Fprintf(w, "id: %d\ndata: event %d\n\n", i, i)
 		flush.Flush()
--- a/internal/standin/serve.go
+++ b/internal/standin/serve.go
@@ -73,8 +73,8 @@
 	return Tokens(text)
 }
 
-// continues reports whether the prompt is given as token ids.
-func (b *completionBody) continues() bool {
+// isTokenIDs reports whether the prompt is given as token ids.
+func (b *completionBody) isTokenIDs() bool {
 	var ids []int
 	return json.Unmarshal(b.Prompt, &ids) == nil && len(ids) > 0
 }
@@ -100,39 +100,39 @@
 		return
 	}
 	e.mu.Lock()
-	f, noticed := e.fault, e.noticed
+	f, noticed := e.fault, e.noticedAt
 	e.mu.Unlock()
 	if f.Refuse {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
 	if !noticed.IsZero() {
-		e.ledger.leaving(time.Since(noticed))
+		e.ledger.countWhileLeaving(time.Since(noticed))
 	}
-	e.ledger.begin(e.name, body.User, body.Unrepeatable)
+	e.ledger.countBegin(e.name, body.User, body.Unrepeatable)
 	if f.BlackHole {
 		e.pause(r.Context(), time.Hour)
 		return
 	}
-	if !e.enter(r.Context(), body.Priority) {
+	if !e.acquireSlot(r.Context(), body.Priority) {
 		return
 	}
-	defer e.leave()
+	defer e.releaseSlot()
 	e.generate(r.Context(), w, r, &body, f)
 }
 
 // generate prefills the prompt and streams the response.
 func (e *Engine) generate(ctx context.Context, w http.ResponseWriter, r *http.Request, body *completionBody, f EngineFault) {
 	tokens := body.promptTokens()
-	state, cached, blocks, ok := e.compute(ctx, body, tokens)
+	state, cached, blocks, ok := e.prefill(ctx, body, tokens)
 	if !ok {
 		return
 	}
-	e.hold(blocks, 1)
-	defer func() { e.hold(blocks, -1) }()
+	e.addBlockRefs(blocks, 1)
+	defer func() { e.addBlockRefs(blocks, -1) }()
 	out := newChunkWriter(w, r, body)
 	if f.Garble {
-		state = fold(state, 1)
+		state = extendHash(state, 1)
 		out.c.ID = "cmpl-of-another-request"
 	}
 	n, stop := body.MaxTokens, "length"
@@ -140,7 +140,7 @@
 		n = n / 2
 	}
 	context := len(tokens)
-	if f.Repeat && body.continues() && n > 0 {
+	if f.Repeat && body.isTokenIDs() && n > 0 {
 		out.token(tokens[len(tokens)-1], tokens)
 		n--
 	}
@@ -152,19 +152,19 @@
 			e.pause(ctx, time.Hour)
 			return
 		}
-		if !e.pause(ctx, e.step()) {
+		if !e.pause(ctx, e.tokenTime()) {
 			return
 		}
-		t := next(state)
-		state = fold(state, t)
+		t := nextToken(state)
+		state = extendHash(state, t)
 		context++
 		if context%BlockTokens == 0 {
-			e.ledger.block(body.User, state)
-			e.store(state, body.PromptCacheKey)
-			e.hold([]uint64{state}, 1)
+			e.ledger.countBlock(body.User, state)
+			e.cacheBlock(state, body.PromptCacheKey)
+			e.addBlockRefs([]uint64{state}, 1)
 			blocks = append(blocks, state)
 		}
-		e.ledger.tokens(1, 0, 0)
+		e.ledger.countTokens(1, 0, 0)
 		var prompt []int
 		if i == 0 {
 			prompt = tokens
@@ -174,17 +174,17 @@
 	out.finish(stop, usage{PromptTokens: len(tokens), CompletionTokens: n, Details: usageDetails{cached}})
 }
 
-// compute prefills the blocks that are not cached and returns the hash of the context.
-func (e *Engine) compute(ctx context.Context, body *completionBody, tokens []int) (state uint64, cached int, blocks []uint64, ok bool) {
+// prefill computes the blocks that are not cached and returns the hash of the context.
+func (e *Engine) prefill(ctx context.Context, body *completionBody, tokens []int) (state uint64, cached int, blocks []uint64, ok bool) {
 	hit := true
 	var fresh []uint64
 	for i, t := range tokens {
-		state = fold(state, t)
+		state = extendHash(state, t)
 		if (i+1)%BlockTokens != 0 {
 			continue
 		}
 		e.mu.Lock()
-		hit = hit && e.has(state)
+		hit = hit && e.hasBlock(state)
 		e.mu.Unlock()
 		if hit {
 			cached += BlockTokens
@@ -194,53 +194,53 @@
 		blocks = append(blocks, state)
 	}
 	select {
-	case e.prompt <- struct{}{}:
+	case e.prefillSlot <- struct{}{}:
 	case <-ctx.Done():
 		return 0, 0, nil, false
 	case <-e.done:
 		return 0, 0, nil, false
 	}
 	ok = e.pause(ctx, time.Duration(float64(len(tokens)-cached)/e.cfg.Prefill*float64(time.Second)))
-	<-e.prompt
+	<-e.prefillSlot
 	if !ok {
 		return 0, 0, nil, false
 	}
 	for _, h := range fresh {
-		e.ledger.block(body.User, h)
+		e.ledger.countBlock(body.User, h)
 	}
 	// Blocks are touched from the last to the first, so that the LRU cache evicts the prefix last.
 	for _, h := range slices.Backward(blocks) {
-		e.store(h, body.PromptCacheKey)
+		e.cacheBlock(h, body.PromptCacheKey)
 	}
-	e.ledger.tokens(0, len(tokens)-cached, cached)
+	e.ledger.countTokens(0, len(tokens)-cached, cached)
 	return state, cached, blocks, true
 }
 
-// has reports whether a block is cached or used by a running request; the
+// hasBlock reports whether a block is cached or used by a running request; the
 // caller holds the lock.
-func (e *Engine) has(h uint64) bool { return e.held[h] > 0 || e.cache.Contains(h) }
+func (e *Engine) hasBlock(h uint64) bool { return e.blockRefs[h] > 0 || e.cache.Contains(h) }
 
-// hold changes the reference counts of blocks that running requests use.
-func (e *Engine) hold(blocks []uint64, by int) {
+// addBlockRefs changes the reference counts of blocks that running requests use.
+func (e *Engine) addBlockRefs(blocks []uint64, by int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for _, h := range blocks {
-		if e.held[h] += by; e.held[h] == 0 {
-			delete(e.held, h)
+		if e.blockRefs[h] += by; e.blockRefs[h] == 0 {
+			delete(e.blockRefs, h)
 		}
 	}
 }
 
-// store adds a block to the prefix cache.
-func (e *Engine) store(h uint64, key string) {
+// cacheBlock adds a block to the prefix cache.
+func (e *Engine) cacheBlock(h uint64, key string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.cache.Add(h, key)
 }
 
-// publish appends an eviction event for a cache key. It skips every seventh sequence
+// publishEviction appends an eviction event for a cache key. It skips every seventh sequence
 // number, as if that event were lost. The caller holds the lock.
-func (e *Engine) publish(key string) {
+func (e *Engine) publishEviction(key string) {
 	n := int64(1)
 	if len(e.events) > 0 {
 		n = e.events[len(e.events)-1].Seq + 1
