--- a/internal/trial/caller.go
+++ b/internal/trial/caller.go
@@ -82,19 +82,19 @@
 
 // result is the outcome of a request as its caller sees it, over all attempts.
 type result struct {
-	r        *callerRequest
-	tries    int
-	whole    bool
-	wrong    bool // a response was delivered as complete but differs from the expected one
-	refused  bool // the last response was "not run"
-	falsely  bool // rejected as "not run" although an endpoint had begun it
-	unknown  bool // the last response was an unknown outcome
-	cut      bool // a daemon's planned stop cut the response
-	last     string
-	began    time.Time
-	first    time.Time
-	ended    time.Time
-	overhead time.Duration
+	r              *callerRequest
+	attempts       int
+	whole          bool
+	wrong          bool // a response was delivered as complete but differs from the expected one
+	refused        bool // the last response was "not run"
+	falselyRefused bool // rejected as "not run" although an endpoint had begun it
+	unknown        bool // the last response was an unknown outcome
+	cutByStop      bool // a daemon's planned stop cut the response
+	last           string
+	began          time.Time
+	first          time.Time
+	ended          time.Time
+	overhead       time.Duration
 }
 
 // reply is the outcome of one attempt.
@@ -110,12 +110,12 @@
 	overhead time.Duration
 }
 
-// A caller makes at most callerTries attempts. Between them it waits for the Retry-After time,
-// at least callerPause and at most callerPatience.
+// A caller makes at most callerMaxAttempts attempts. Between them it waits for the Retry-After time,
+// at least callerMinBackoff and at most callerMaxBackoff.
 const (
-	callerTries    = 8
-	callerPause    = 20 * time.Millisecond
-	callerPatience = 5 * time.Second
+	callerMaxAttempts = 8
+	callerMinBackoff  = 20 * time.Millisecond
+	callerMaxBackoff  = 5 * time.Second
 )
 
 // do sends a request as a well-behaved client does: it retries with the same idempotency key when
@@ -124,15 +124,15 @@
 	res := &result{r: r, began: time.Now()}
 	text, events := "", 0
 	sent := false // an earlier attempt may have begun it
-	for res.tries < callerTries {
+	for res.attempts < callerMaxAttempts {
 		d := b.pick()
 		if d == nil {
 			time.Sleep(50 * time.Millisecond)
-			res.tries++
+			res.attempts++
 			continue
 		}
-		res.tries++
-		rep := w.send(ctx, d, r, events, w.patience(res))
+		res.attempts++
+		rep := w.send(ctx, d, r, events, w.remainingWait(res))
 		if res.first.IsZero() {
 			res.first = rep.first
 		}
@@ -144,31 +144,31 @@
 		events += rep.events
 		res.overhead = rep.overhead
 		if rep.err != nil && b.stopping(d) && rep.events > 0 {
-			res.cut = true
+			res.cutByStop = true
 		}
-		if w.judge(res, rep, text, &sent) {
+		if w.recordReply(res, rep, text, &sent) {
 			break
 		}
 		if rep.events == 0 && !r.stream {
 			text = ""
 		}
-		time.Sleep(min(max(rep.after, callerPause), callerPatience))
+		time.Sleep(min(max(rep.after, callerMinBackoff), callerMaxBackoff))
 	}
 	res.ended = time.Now()
 	return res
 }
 
-// patience returns how long the caller will still wait for a result; 0 means
+// remainingWait returns how long the caller will still wait for a result; 0 means
 // until the deadline of the route.
-func (w *world) patience(res *result) time.Duration {
+func (w *world) remainingWait(res *result) time.Duration {
 	if !w.opts.Hurry {
 		return 0
 	}
 	return max(3*res.r.target/2-time.Since(res.began), time.Millisecond)
 }
 
-// judge records a reply in the result and reports whether it is final.
-func (w *world) judge(res *result, rep reply, text string, sent *bool) bool {
+// recordReply records a reply in the result and reports whether it is final.
+func (w *world) recordReply(res *result, rep reply, text string, sent *bool) bool {
 	res.refused, res.unknown = false, false
 	res.last = fmt.Sprintf("%d %v", int(rep.code), rep.err)
 	switch {
@@ -182,7 +182,7 @@
 	case rep.ran == code.NotRun.String():
 		res.refused = true
 		if !*sent && rep.code != code.StillRunning && w.ledger.Begun(res.r.id) > 0 {
-			res.falsely = true
+			res.falselyRefused = true
 		}
 		return false
 	case rep.code == code.UnknownOutcome:
@@ -229,7 +229,7 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return refusal(resp)
+		return readRefusal(resp)
 	}
 	if r.stream {
 		return readStream(resp)
@@ -237,7 +237,7 @@
 	return readWhole(resp, r, began)
 }
 
-func refusal(resp *http.Response) reply {
+func readRefusal(resp *http.Response) reply {
 	n, _ := strconv.Atoi(resp.Header.Get("Streambend-Code"))
 	s, _ := strconv.Atoi(resp.Header.Get("Retry-After"))
 	b, _ := io.ReadAll(resp.Body)
--- a/internal/trial/events.go
+++ b/internal/trial/events.go
@@ -14,11 +14,11 @@
 
 // Notice periods of a reclaim: from the notice to the termination of the box.
 const (
-	noticeTime = 2 * time.Second
-	slowNotice = 8 * time.Second
+	shortNotice = 2 * time.Second
+	slowNotice  = 8 * time.Second
 )
 
-func (w *world) leaving() []seam.Box {
+func (w *world) leavingBoxes() []seam.Box {
 	var out []seam.Box
 	for _, b := range w.cloud.Boxes() {
 		if b.State == seam.BoxLeaving {
@@ -29,7 +29,7 @@
 }
 
 // reclaim gives noticeTime of notice to all reclaimable boxes of the zones.
-func (t *trial) reclaim(zones ...string) { t.reclaimIn(noticeTime, zones...) }
+func (t *trial) reclaim(zones ...string) { t.reclaimIn(shortNotice, zones...) }
 
 func (t *trial) reclaimIn(notice time.Duration, zones ...string) {
 	for _, z := range zones {
@@ -37,15 +37,15 @@
 		t.mu.Lock()
 		t.report.BoxesReclaimed += n
 		t.mu.Unlock()
-		t.say("       zone %s is reclaimed in %s: %d boxes", z, notice, n)
+		t.progressf("       zone %s is reclaimed in %s: %d boxes", z, notice, n)
 	}
 }
 
-// An operator retries a change up to changeTries times, changePause apart, while the
+// An operator retries a change up to changeRetries times, changePause apart, while the
 // store is down.
 const (
-	changeTries = 100
-	changePause = 100 * time.Millisecond
+	changeRetries = 100
+	changePause   = 100 * time.Millisecond
 )
 
 // change confirms a changed intent and measures how long it takes until all daemons apply it. The
@@ -71,8 +71,8 @@
 			defer wg.Done()
 			until(ctx, t.opts.Span, "change in force", func() bool {
 				now, err := t.operator(office, d).row(ctx, s.Name)
-				if t.isGone(d) || err != nil || now.Rev <= row.Rev {
-					return t.isGone(d)
+				if t.isStopped(d) || err != nil || now.Rev <= row.Rev {
+					return t.isStopped(d)
 				}
 				seen[i] = time.Now()
 				return true
@@ -80,24 +80,24 @@
 		}()
 	}
 	c, err := t.operator(office, ds[0]).change(ctx, s)
-	for tries := 0; err != nil && tries < changeTries && ctx.Err() == nil; tries++ {
+	for tries := 0; err != nil && tries < changeRetries && ctx.Err() == nil; tries++ {
 		time.Sleep(changePause)
 		c, err = t.operator(office, t.live()[0]).change(ctx, s)
 	}
 	wg.Wait()
 	if err != nil {
-		t.say("       change of the configuration failed: %v", err)
+		t.progressf("       change of the configuration failed: %v", err)
 	}
-	t.inForceAt(ds, seen, c.Accepted)
+	t.recordInForce(ds, seen, c.Accepted)
 }
 
-// inForceAt records the time from the first to the last daemon that showed a change.
-func (t *trial) inForceAt(ds []*process.Daemon, seen []time.Time, version int64) {
+// recordInForce records the time from the first to the last daemon that showed a change.
+func (t *trial) recordInForce(ds []*process.Daemon, seen []time.Time, version int64) {
 	var first, last time.Time
 	missing := 0
 	for i, at := range seen {
 		switch {
-		case at.IsZero() && !t.isGone(ds[i]):
+		case at.IsZero() && !t.isStopped(ds[i]):
 			missing++
 		case at.IsZero():
 		case first.IsZero() || at.Before(first):
@@ -118,13 +118,13 @@
 		took = t.opts.Span
 	}
 	t.inForce = max(t.inForce, took)
-	t.say("       version %d in force at all daemons %.0f ms after it was accepted", version, took.Seconds()*1000)
+	t.progressf("       version %d in force at all daemons %.0f ms after it was accepted", version, took.Seconds()*1000)
 }
 
-func (w *world) isGone(d *process.Daemon) bool {
+func (w *world) isStopped(d *process.Daemon) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.gone[d]
+	return w.stopped[d]
 }
 
 // plannedStop stops the last daemon gracefully.
@@ -134,15 +134,15 @@
 	if len(ds) < 2 || t.balancer.stopping(d) {
 		return
 	}
-	t.balancer.plan(d)
-	t.say("       planned stop of %s", d.Self.Name)
+	t.balancer.markStopping(d)
+	t.progressf("       planned stop of %s", d.Self.Name)
 	if stop := t.opts.Seams.Stop; stop != nil {
 		stop(ctx, d)
 	} else {
 		d.Stop(ctx)
 	}
-	t.markGone(d)
-	t.say("       %s has stopped", d.Self.Name)
+	t.markStopped(d)
+	t.progressf("       %s has stopped", d.Self.Name)
 }
 
 // watchVersions counts how often the configuration version of a daemon decreases.
--- a/internal/trial/faults.go
+++ b/internal/trial/faults.go
@@ -52,9 +52,9 @@
 	return out
 }
 
-// ordinary returns the events that are not faults; those with a start time are part
+// regularEvents returns the events that are not faults; those with a start time are part
 // of every trial.
-func ordinary() []fault {
+func regularEvents() []fault {
 	return []fault{
 		{name: "reclaim", at: 0.2, run: func(_ context.Context, t *trial) { t.reclaim("silom", "makati-a") }},
 		{name: "reclaim-slow", run: func(_ context.Context, t *trial) { t.reclaimIn(slowNotice, "chatuchak", "makati-b") }},
@@ -66,7 +66,7 @@
 // Events returns the event names that are valid in a Step.
 func Events() []string {
 	var out []string
-	for _, f := range append(ordinary(), faults()...) {
+	for _, f := range append(regularEvents(), faults()...) {
 		if f.run != nil {
 			out = append(out, f.name)
 		}
@@ -84,7 +84,7 @@
 // name is empty.
 func Script(name string) []Step {
 	var out []Step
-	for _, f := range ordinary() {
+	for _, f := range regularEvents() {
 		if f.at > 0 {
 			out = append(out, Step{f.at, f.name})
 		}
@@ -98,7 +98,7 @@
 }
 
 func findEvent(name string) (fault, bool) {
-	for _, f := range append(ordinary(), faults()...) {
+	for _, f := range append(regularEvents(), faults()...) {
 		if f.name == name {
 			return f, true
 		}
@@ -106,8 +106,8 @@
 	return fault{}, false
 }
 
-// keep waits for a fraction of the span, during which the caller's fault stays in effect.
-func (t *trial) keep(ctx context.Context, share float64) {
+// waitShare waits for a fraction of the span, during which the caller's fault stays in effect.
+func (t *trial) waitShare(ctx context.Context, share float64) {
 	select {
 	case <-ctx.Done():
 	case <-time.After(time.Duration(share * float64(t.opts.Span))):
@@ -118,26 +118,26 @@
 func twoWaves(_ context.Context, t *trial) { t.reclaim("bangna", "pasig-c") }
 
 func storeDown(ctx context.Context, t *trial) {
-	t.say("       the table and the object store are down")
+	t.progressf("       the table and the object store are down")
 	t.store.Table.Faults.Set(standin.Fault{Down: true})
 	t.store.Objects.Faults.Set(standin.Fault{Down: true})
-	t.keep(ctx, 0.3)
+	t.waitShare(ctx, 0.3)
 	t.store.Table.Faults.Set(standin.Fault{})
 	t.store.Objects.Faults.Set(standin.Fault{})
-	t.say("       the store is back")
+	t.progressf("       the store is back")
 }
 
 func storeSlow(ctx context.Context, t *trial) {
-	t.say("       the table takes 600 ms a call")
+	t.progressf("       the table takes 600 ms a call")
 	t.store.Table.Faults.Set(standin.Fault{Delay: 600 * time.Millisecond})
-	t.keep(ctx, 0.4)
+	t.waitShare(ctx, 0.4)
 	t.store.Table.Faults.Set(standin.Fault{})
 }
 
 func lostAnswers(ctx context.Context, t *trial) {
-	t.say("       every third write takes effect and its answer is lost")
+	t.progressf("       every third write takes effect and its answer is lost")
 	t.store.Table.Faults.Set(standin.Fault{LoseEvery: 3})
-	t.keep(ctx, 0.8)
+	t.waitShare(ctx, 0.8)
 	t.store.Table.Faults.Set(standin.Fault{})
 }
 
@@ -148,8 +148,8 @@
 		return
 	}
 	d := ds[1]
-	t.say("       %s dies", d.Self.Name)
-	t.markGone(d)
+	t.progressf("       %s dies", d.Self.Name)
+	t.markStopped(d)
 	d.Kill()
 }
 
@@ -159,9 +159,9 @@
 	ds = ds[:min(2, len(ds))]
 	for _, d := range ds {
 		d.FreezeLeases(time.Now(), true)
-		t.say("       %s is paused and does not know that its leases lapse", d.Self.Name)
+		t.progressf("       %s is paused and does not know that its leases lapse", d.Self.Name)
 	}
-	t.keep(ctx, 0.7)
+	t.waitShare(ctx, 0.7)
 	for _, d := range ds {
 		d.FreezeLeases(time.Now(), false)
 	}
@@ -191,23 +191,23 @@
 		}()
 	}
 	wg.Wait()
-	t.say("       12 operators at once: %d changes accepted, %d conflicts", won, lost)
+	t.progressf("       12 operators at once: %d changes accepted, %d conflicts", won, lost)
 }
 
 func refusedStarts(ctx context.Context, t *trial) {
 	for _, z := range []string{"bangna", "chatuchak", "makati-b"} {
 		t.cloud.Refuse(z, gpuClass, true, true)
 	}
-	t.say("       starts are refused in three zones")
-	t.keep(ctx, 0.8)
-	t.say("       %d starts were refused", t.cloud.Refused())
+	t.progressf("       starts are refused in three zones")
+	t.waitShare(ctx, 0.8)
+	t.progressf("       %d starts were refused", t.cloud.Refused())
 }
 
 // lateEvents increases the delay of the box list.
 func lateEvents(ctx context.Context, t *trial) {
-	t.say("       the box list is 2.5 s late")
+	t.progressf("       the box list is 2.5 s late")
 	t.cloud.SetLag(2500 * time.Millisecond)
-	t.keep(ctx, 0.7)
+	t.waitShare(ctx, 0.7)
 	t.cloud.SetLag(500 * time.Millisecond)
 }
 
@@ -215,19 +215,19 @@
 // responses, or accept requests without ever responding.
 func badEndpoint(ctx context.Context, t *trial) {
 	kinds := []standin.EngineFault{{CutAfter: 5}, {StallAfter: 4}, {Garble: true}, {Short: true}, {BlackHole: true}}
-	var bad []faulty
+	var bad []faultInjector
 	for _, b := range t.cloud.Boxes() {
 		if len(bad) == len(kinds) || b.Class != gpuClass || b.State != seam.BoxLive || b.Zone == "silom" || b.Zone == "makati-a" {
 			continue
 		}
 		t.world.mu.Lock()
-		e := t.bad[b.ID]
+		e := t.faultTargets[b.ID]
 		t.world.mu.Unlock()
 		e.SetFault(kinds[len(bad)])
 		bad = append(bad, e)
-		t.say("       %s", fmt.Sprintf("%s of %s/%s is bad: %+v", b.ID, b.Partner, b.Service, kinds[len(bad)-1]))
+		t.progressf("       %s", fmt.Sprintf("%s of %s/%s is bad: %+v", b.ID, b.Partner, b.Service, kinds[len(bad)-1]))
 	}
-	t.keep(ctx, 0.5)
+	t.waitShare(ctx, 0.5)
 	for _, e := range bad {
 		e.SetFault(standin.EngineFault{})
 	}
--- a/internal/trial/fuzz_test.go
+++ b/internal/trial/fuzz_test.go
@@ -17,8 +17,8 @@
 
 func TestMain(m *testing.M) { fuzz.Main(m, fuzzRuns) }
 
-// script generates options with random events at random times.
-func script() *rapid.Generator[trial.Options] {
+// randomScript generates options with random events at random times.
+func randomScript() *rapid.Generator[trial.Options] {
 	return rapid.Custom(func(t *rapid.T) trial.Options {
 		o := trial.DefaultOptions()
 		o.Daemons, o.Rate, o.Span = 3, 0.3, 6*time.Second
@@ -38,7 +38,7 @@
 // of the callers and the endpoints.
 func TestFuzzPromises(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		o := script().Draw(rt, "script")
+		o := randomScript().Draw(rt, "script")
 		r := virtual(t, o)
 		if len(r.Wrong) > 0 {
 			rt.Fatalf("%v", r.Wrong)
--- a/internal/trial/keys.go
+++ b/internal/trial/keys.go
@@ -49,11 +49,11 @@
 		return
 	}
 	d := ds[0]
-	t.say("       %s must stop within %s", d.Self.Name, handoverDrain)
+	t.progressf("       %s must stop within %s", d.Self.Name, handoverDrain)
 	short, cancel := context.WithTimeout(ctx, handoverDrain)
 	defer cancel()
 	d.Stop(short)
-	t.markGone(d)
+	t.markStopped(d)
 }
 
 // blindReplacement reclaims a zone on each side after a long outage of the table. The boxes must
@@ -61,18 +61,18 @@
 func blindReplacement(ctx context.Context, t *trial) {
 	t.store.Table.Faults.Set(standin.Fault{Down: true})
 	defer t.store.Table.Faults.Set(standin.Fault{})
-	t.keep(ctx, 0.4)
+	t.waitShare(ctx, 0.4)
 	before := t.cloud.Boxes()
-	n := t.cloud.Reclaim(time.Now(), noticeTime, func(b seam.Box) bool { return b.Zone == "bangna" || b.Zone == "pasig-c" })
-	t.say("       %d boxes are reclaimed while the table is down", n)
-	err := until(ctx, 10*time.Second, "replacement with the table down", t.enough)
+	n := t.cloud.Reclaim(time.Now(), shortNotice, func(b seam.Box) bool { return b.Zone == "bangna" || b.Zone == "pasig-c" })
+	t.progressf("       %d boxes are reclaimed while the table is down", n)
+	err := until(ctx, 10*time.Second, "replacement with the table down", t.hasMinBoxes)
 	t.check(err == nil, "%v: %d started for %d lost", err, len(t.cloud.Boxes())-len(before), n)
-	t.keep(ctx, 0.1)
-	t.check(len(t.cloud.Boxes())-len(before) <= n+t.leavingSince(before), "%d boxes started for %d lost", len(t.cloud.Boxes())-len(before), n)
+	t.waitShare(ctx, 0.1)
+	t.check(len(t.cloud.Boxes())-len(before) <= n+t.lostSince(before), "%d boxes started for %d lost", len(t.cloud.Boxes())-len(before), n)
 }
 
-// enough reports whether every service has its minimum number of boxes.
-func (t *trial) enough() bool {
+// hasMinBoxes reports whether every service has its minimum number of boxes.
+func (t *trial) hasMinBoxes() bool {
 	have := make(map[string]int)
 	for _, b := range t.cloud.Boxes() {
 		if b.State < seam.BoxLeaving {
@@ -87,9 +87,9 @@
 	return true
 }
 
-// leavingSince counts the boxes of a list that began to leave since, in zones that
+// lostSince counts the boxes of a list that began to leave since, in zones that
 // blindReplacement does not reclaim.
-func (t *trial) leavingSince(before []seam.Box) int {
+func (t *trial) lostSince(before []seam.Box) int {
 	lost := 0
 	had := make(map[string]seam.Box)
 	for _, b := range before {
--- a/internal/trial/list_test.go
+++ b/internal/trial/list_test.go
@@ -14,14 +14,14 @@
 	"streambend.example/seam"
 )
 
-// backList returns an empty list with the first sequence number from 3 s to 6 s after the start.
-type backList struct {
+// olderBoxList returns an empty list with the first sequence number from 3 s to 6 s after the start.
+type olderBoxList struct {
 	seam.BoxList
 	began time.Time
 }
 
 // List implements seam.BoxList.
-func (l backList) List(ctx context.Context, since int64) (seam.BoxPage, error) {
+func (l olderBoxList) List(ctx context.Context, since int64) (seam.BoxPage, error) {
 	if at := time.Since(l.began); at > 3*time.Second && at < 6*time.Second {
 		return seam.BoxPage{Seq: 1, Boxes: []seam.Box{}}, nil
 	}
@@ -29,11 +29,11 @@
 }
 
 // An older box list must not make the daemons drop endpoints that it lacks.
-func TestAListThatGoesBackEndsNoEndpoint(t *testing.T) {
+func TestOlderBoxListRemovesNoEndpoint(t *testing.T) {
 	o := trial.DefaultOptions()
 	o.Rate, o.Span, o.Script = 0.3, 8*time.Second, []trial.Step{}
 	o.Seams.Platform = func(p process.Platform) process.Platform {
-		p.Boxes = backList{p.Boxes, time.Now()}
+		p.Boxes = olderBoxList{p.Boxes, time.Now()}
 		return p
 	}
 	r := virtual(t, o)
--- a/internal/trial/load.go
+++ b/internal/trial/load.go
@@ -27,21 +27,21 @@
 
 func newBalancer(ctx context.Context, w *world) *balancer {
 	b := &balancer{w: w, rng: rand.New(rand.NewPCG(w.opts.Seed, 2)), closed: make(map[*process.Daemon]bool)}
-	b.look()
+	b.checkReadiness()
 	w.wg.Add(1)
 	go func() {
 		defer w.wg.Done()
 		for ctx.Err() == nil {
 			time.Sleep(balancePeriod)
 			if w.opts.DaemonNet == nil {
-				b.look()
+				b.checkReadiness()
 			}
 		}
 	}()
 	return b
 }
 
-func (b *balancer) look() {
+func (b *balancer) checkReadiness() {
 	var ready []*process.Daemon
 	for _, d := range b.w.live() {
 		if b.w.isReady(d) {
@@ -62,8 +62,8 @@
 	return b.ready[b.rng.IntN(len(b.ready))]
 }
 
-// plan records that a planned stop of a daemon begins.
-func (b *balancer) plan(d *process.Daemon) {
+// markStopping records that a planned stop of a daemon begins.
+func (b *balancer) markStopping(d *process.Daemon) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.closed[d] = true
--- a/internal/trial/planted_test.go
+++ b/internal/trial/planted_test.go
@@ -17,26 +17,26 @@
 	"streambend.example/seam"
 )
 
-// plantRuns is the number of runs within which a planted fault must be detected.
-const plantRuns = 40
+// maxDetectionRuns is the number of runs within which a planted fault must be detected.
+const maxDetectionRuns = 40
 
-// planted is a deliberate defect that breaks the guarantee at the same index in the report. It is
+// plantedFault is a deliberate defect that breaks the guarantee at the same index in the report. It is
 // injected through an interface of the product or of its environment.
-type planted struct {
+type plantedFault struct {
 	name  string
 	seams trial.Seams
 }
 
-// plants returns one defect for each guarantee, in their order.
-func plants() []planted {
-	return []planted{
+// plantedFaults returns one defect for each guarantee, in their order.
+func plantedFaults() []plantedFault {
+	return []plantedFault{
 		{"drop-moved", trial.Seams{Judge: dropMoved}},
 		{"repeat-token", trial.Seams{Engine: standin.EngineFault{Repeat: true}}},
 		{"refuse-after-send", trial.Seams{Judge: refuseAfterSend}},
 		{"rerun-unrepeatable", trial.Seams{Judge: rerunUnrepeatable}},
 		{"route-to-leaving", trial.Seams{Platform: hideLeaving}},
 		{"cut-on-stop", trial.Seams{Stop: func(_ context.Context, d *process.Daemon) { d.Kill() }}},
-		{"revert-config", trial.Seams{Version: revert()}},
+		{"revert-config", trial.Seams{Version: revertVersions()}},
 	}
 }
 
@@ -67,17 +67,17 @@
 
 // hideLeaving hides from the daemons that boxes are leaving.
 func hideLeaving(p process.Platform) process.Platform {
-	p.Cloud, p.Boxes = quietCloud{p.Cloud}, quietList{p.Boxes}
+	p.Cloud, p.Boxes = cloudWithoutNotices{p.Cloud}, listWithoutLeaving{p.Boxes}
 	return p
 }
 
-type quietCloud struct{ seam.Cloud }
+type cloudWithoutNotices struct{ seam.Cloud }
 
-func (quietCloud) Notices(context.Context) ([]seam.Notice, error) { return nil, nil }
+func (cloudWithoutNotices) Notices(context.Context) ([]seam.Notice, error) { return nil, nil }
 
-type quietList struct{ seam.BoxList }
+type listWithoutLeaving struct{ seam.BoxList }
 
-func (l quietList) List(ctx context.Context, since int64) (seam.BoxPage, error) {
+func (l listWithoutLeaving) List(ctx context.Context, since int64) (seam.BoxPage, error) {
 	p, err := l.BoxList.List(ctx, since)
 	for i := range p.Boxes {
 		if p.Boxes[i].State == seam.BoxLeaving {
@@ -87,8 +87,8 @@
 	return p, err
 }
 
-// revert returns the previous version at every 31st read by an operator.
-func revert() func(d *process.Daemon, inForce int64) int64 {
+// revertVersions returns the previous version at every 31st read by an operator.
+func revertVersions() func(d *process.Daemon, inForce int64) int64 {
 	reads := 0
 	return func(_ *process.Daemon, inForce int64) int64 {
 		if reads++; reads%31 == 0 {
@@ -100,11 +100,11 @@
 
 // TestPlantedFaultsAreFound verifies that the check of each guarantee detects a violation.
 func TestPlantedFaultsAreFound(t *testing.T) {
-	for i, f := range plants() {
+	for i, f := range plantedFaults() {
 		t.Run(f.name, func(t *testing.T) {
 			t.Parallel()
-			for n := range plantRuns {
-				o := script().Example(n)
+			for n := range maxDetectionRuns {
+				o := randomScript().Example(n)
 				o.Seams = f.seams
 				r := virtual(t, o)
 				if p := r.Promises()[i]; !p.Held {
@@ -112,7 +112,7 @@
 					return
 				}
 			}
-			require.Fail(t, "planted fault not detected", "%s in %d runs", f.name, plantRuns)
+			require.Fail(t, "planted fault not detected", "%s in %d runs", f.name, maxDetectionRuns)
 		})
 	}
 }
--- a/internal/trial/replay.go
+++ b/internal/trial/replay.go
@@ -248,11 +248,11 @@
 	return s
 }
 
-// extraSteps are the demand multipliers that AtAttainment tries, in order.
-var extraSteps = [...]float64{1, 1.5, 3}
+// demandMultipliers are the demand multipliers that AtAttainment tries, in order.
+var demandMultipliers = [...]float64{1, 1.5, 3}
 
-// doneShare is the minimum fraction of all work that must be done within the hour.
-const doneShare = 0.95
+// minDone is the minimum fraction of all work that must be done within the hour.
+const minDone = 0.95
 
 // AtAttainment returns the outcome of a policy, averaged over hours of several seeds, at the smallest
 // demand multiplier that attains a fraction of the interactive work and doneShare of all work. If none
@@ -260,7 +260,7 @@
 func AtAttainment(p version.Policy, share float64, seeds int) (Outcome, bool) {
 	s := PlacementService()
 	var best Outcome
-	for _, extra := range extraSteps {
+	for _, extra := range demandMultipliers {
 		sum := Outcome{Policy: p, Extra: extra}
 		for seed := range seeds {
 			o := Replay(RecordHour(uint64(seed+1), s), s, p, extra)
@@ -269,7 +269,7 @@
 			sum.Done += o.Done / float64(seeds)
 			sum.Doubled += o.Doubled
 		}
-		if best = sum; sum.Attainment >= share && sum.Done >= doneShare {
+		if best = sum; sum.Attainment >= share && sum.Done >= minDone {
 			return sum, true
 		}
 	}
--- a/internal/trial/report.go
+++ b/internal/trial/report.go
@@ -136,8 +136,8 @@
 	}
 }
 
-// failuresShown is the maximum number of failed requests listed in a report.
-const failuresShown = 8
+// maxFailures is the maximum number of failed requests listed in a report.
+const maxFailures = 8
 
 // count aggregates the results of the callers.
 func (r *Report) count(results []*result) {
@@ -153,14 +153,14 @@
 			times[key] = newHistogram()
 			order = append(order, key)
 		}
-		r.one(rows[key], x)
+		r.countResult(rows[key], x)
 		if x.whole {
 			record(times[key], x.ended.Sub(x.began))
 		}
 		if x.r.stream && x.r.chat && !x.first.IsZero() {
 			record(ttft, x.first.Sub(x.began))
 		}
-		if x.r.tokens == 0 && x.whole && x.tries == 1 {
+		if x.r.tokens == 0 && x.whole && x.attempts == 1 {
 			record(over, x.overhead)
 		}
 	}
@@ -173,18 +173,18 @@
 	r.OverheadP50, r.OverheadP99 = quantile(over, 50), quantile(over, 99)
 }
 
-func (r *Report) one(row *JobRow, x *result) {
+func (r *Report) countResult(row *JobRow, x *result) {
 	row.Sent++
-	if x.falsely {
+	if x.falselyRefused {
 		r.RefusedButRan++
 	}
-	if x.cut {
+	if x.cutByStop {
 		r.CutByPlannedStop++
 	}
 	if x.refused {
 		r.RefusedNotRun++
 		row.Refused++
-		r.fail(x, "refused")
+		r.addFailure(x, "refused")
 		return
 	}
 	r.Accepted++
@@ -205,12 +205,12 @@
 		r.NotAnswered++
 	}
 	row.Other++
-	r.fail(x, "failed")
+	r.addFailure(x, "failed")
 }
 
-func (r *Report) fail(x *result, what string) {
-	if len(r.Failures) < failuresShown {
-		r.Failures = append(r.Failures, fmt.Sprintf("%s %s after %d tries: %.300s", x.r.id, what, x.tries, x.last))
+func (r *Report) addFailure(x *result, what string) {
+	if len(r.Failures) < maxFailures {
+		r.Failures = append(r.Failures, fmt.Sprintf("%s %s after %d tries: %.300s", x.r.id, what, x.attempts, x.last))
 	}
 }
 
--- a/internal/trial/rollout.go
+++ b/internal/trial/rollout.go
@@ -28,17 +28,17 @@
 
 // Parameters of the rollout trials.
 const (
-	rolloutFor       = 8 * time.Second // duration of the rollout
+	rolloutDuration  = 8 * time.Second // duration of the rollout
 	rolloutEndpoints = 4               // endpoints of each version
 	rolloutRate      = 150             // requests per second
 	rolloutSettle    = 3 * time.Second // wait before the rollout order and after the rollout ends
-	rolloutMost      = 30 * time.Second
+	rolloutTimeout   = 30 * time.Second
 	// An untried version may get untriedShare of the requests plus untriedSlack, and none later than
 	// rollBackIn after its fiftieth failed response. These are the defaults of a daemon's settings.
-	untriedShare = 0.1
-	untriedSlack = 50
-	rollBackIn   = 5 * time.Second
-	fiftieth     = 50
+	untriedShare     = 0.1
+	untriedSlack     = 50
+	rollBackIn       = 5 * time.Second
+	rollBackFailures = 50
 )
 
 // rolloutKind is a kind of request of the rollout trials.
@@ -53,16 +53,16 @@
 
 // rolloutTrial runs daemons on the users' platform while a service is rolled out to a new version.
 type rolloutTrial struct {
-	o       Options
-	bad     bool
-	net     *standin.Net
-	store   *standin.Rows
-	api     *standin.DutyAPI
-	daemons []*entry.Daemon
-	old     []*standin.Runner
-	young   []*standin.Runner
-	stray   *standin.Runner // of a version that no rollout orders
-	report  *Report
+	o            Options
+	bad          bool
+	net          *standin.Net
+	store        *standin.Rows
+	api          *standin.DutyAPI
+	daemons      []*entry.Daemon
+	oldEndpoints []*standin.Runner
+	newEndpoints []*standin.Runner
+	unordered    *standin.Runner // of a version that no rollout orders
+	report       *Report
 
 	mu      sync.Mutex
 	ordered time.Time
@@ -77,10 +77,10 @@
 	if err := t.setUp(logs); err != nil {
 		return nil, err
 	}
-	run, cancel := context.WithTimeout(ctx, rolloutSettle+rolloutMost)
+	run, cancel := context.WithTimeout(ctx, rolloutSettle+rolloutTimeout)
 	defer cancel()
 	var callers sync.WaitGroup
-	callers.Go(func() { t.call(run) })
+	callers.Go(func() { t.sendRequests(run) })
 	t.operate(run)
 	sleepFor(ctx, rolloutSettle)
 	cancel()
@@ -96,7 +96,7 @@
 	}
 }
 
-func (t *rolloutTrial) say(format string, args ...any) {
+func (t *rolloutTrial) progressf(format string, args ...any) {
 	if t.o.Progress != nil {
 		fmt.Fprintf(t.o.Progress, format+"\n", args...)
 	}
@@ -114,10 +114,10 @@
 	if err := t.putCatalog(); err != nil {
 		return err
 	}
-	if t.old, err = t.start("v1", rolloutEndpoints, standin.RunnerFault{}); err != nil {
+	if t.oldEndpoints, err = t.start("v1", rolloutEndpoints, standin.RunnerFault{}); err != nil {
 		return err
 	}
-	t.say("starting %d daemons, and %d endpoints of version v1", t.o.Daemons, rolloutEndpoints)
+	t.progressf("starting %d daemons, and %d endpoints of version v1", t.o.Daemons, rolloutEndpoints)
 	log := logrus.New()
 	log.SetOutput(logs)
 	if level, err := logrus.ParseLevel(t.o.LogLevel); err == nil {
@@ -137,7 +137,7 @@
 	time.Sleep(rolloutSettle)
 	strays, err := t.start("v0", 1, standin.RunnerFault{})
 	if err == nil {
-		t.stray = strays[0]
+		t.unordered = strays[0]
 	}
 	return err
 }
@@ -196,30 +196,30 @@
 // the new version. If the rollout completes, it stops those of the old version.
 func (t *rolloutTrial) operate(ctx context.Context) {
 	sleepFor(ctx, rolloutSettle)
-	b, _ := json.Marshal(map[string]any{"service": rolloutService, "target_version": "v2", "duration_s": rolloutFor.Seconds()}) // strings and numbers always encode
+	b, _ := json.Marshal(map[string]any{"service": rolloutService, "target_version": "v2", "duration_s": rolloutDuration.Seconds()}) // strings and numbers always encode
 	t.ordered = time.Now()
 	t.store.Put(platform.CatalogTable, "", "rollout/"+rolloutService, b)
-	t.say("version v2 is ordered, for %s", rolloutFor)
+	t.progressf("version v2 is ordered, for %s", rolloutDuration)
 	sleepFor(ctx, time.Second)
 	f := standin.RunnerFault{}
 	if t.bad {
 		f.FailEach = 3
 	}
 	var err error
-	if t.young, err = t.start("v2", rolloutEndpoints, f); err != nil {
-		t.wrong("endpoints of v2 do not start: %v", err)
+	if t.newEndpoints, err = t.start("v2", rolloutEndpoints, f); err != nil {
+		t.failf("endpoints of v2 do not start: %v", err)
 		return
 	}
 	for ctx.Err() == nil {
 		state := t.status()
 		if state != t.state {
-			t.say("after %s: %s", time.Since(t.ordered).Round(10*time.Millisecond), state)
+			t.progressf("after %s: %s", time.Since(t.ordered).Round(10*time.Millisecond), state)
 			t.state = state
 		}
 		switch state {
 		case "completed":
 			t.ended = time.Now()
-			t.stop(t.old)
+			t.stop(t.oldEndpoints)
 			return
 		case "rolled_back":
 			t.ended = time.Now()
@@ -248,19 +248,19 @@
 		return ""
 	}
 	if err := json.Unmarshal(b, &s); err != nil || s.Target != "v2" {
-		t.wrong("status is %s", b)
+		t.failf("status is %s", b)
 	}
 	return s.State
 }
 
-func (t *rolloutTrial) wrong(format string, args ...any) {
+func (t *rolloutTrial) failf(format string, args ...any) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.report.Wrong = append(t.report.Wrong, fmt.Sprintf(format, args...))
 }
 
-// call sends requests at a constant rate to all daemons in turn.
-func (t *rolloutTrial) call(ctx context.Context) {
+// sendRequests sends requests at a constant rate to all daemons in turn.
+func (t *rolloutTrial) sendRequests(ctx context.Context) {
 	client := &http.Client{Transport: &http.Transport{DialContext: t.net.Dial, DisableCompression: true, MaxIdleConnsPerHost: rolloutRate}}
 	defer client.CloseIdleConnections()
 	tick := time.NewTicker(time.Second / rolloutRate)
@@ -273,12 +273,12 @@
 			return
 		case <-tick.C:
 		}
-		wg.Go(func() { t.one(client, i) })
+		wg.Go(func() { t.sendRequest(client, i) })
 	}
 }
 
-// one sends a request and counts its outcome.
-func (t *rolloutTrial) one(client *http.Client, i int) {
+// sendRequest sends a request and counts its outcome.
+func (t *rolloutTrial) sendRequest(client *http.Client, i int) {
 	k := rolloutKinds[i/len(t.daemons)%len(rolloutKinds)]
 	id := fmt.Sprintf("r%d-%d", t.o.Seed, i)
 	req, err := http.NewRequest(k.method, fmt.Sprintf("http://10.0.0.%d:80%s%s", i%len(t.daemons), k.path, id), strings.NewReader("body of "+id))
@@ -318,39 +318,39 @@
 		want = "rolled_back"
 	}
 	if t.state != want {
-		t.wrong("the order ended %q, not %q", t.state, want)
+		t.failf("the order ended %q, not %q", t.state, want)
 	}
-	deadline := t.ordered.Add(rolloutFor)
-	young, old := runsWithin(t.young, t.ordered, deadline), runsWithin(t.old, t.ordered, deadline)
+	deadline := t.ordered.Add(rolloutDuration)
+	young, old := runsWithin(t.newEndpoints, t.ordered, deadline), runsWithin(t.oldEndpoints, t.ordered, deadline)
 	if most := untriedShare*float64(young+old) + untriedSlack; float64(young) > most {
-		t.wrong("the untried version got %d requests, %.0f at the most", young, most)
+		t.failf("the untried version got %d requests, %.0f at the most", young, most)
 	}
-	t.say("the new version got %d of %d requests until the deadline", young, young+old)
-	if n := len(t.stray.Ran()); n > 0 {
-		t.wrong("a version that nobody has ordered got %d requests", n)
+	t.progressf("the new version got %d of %d requests until the deadline", young, young+old)
+	if n := len(t.unordered.Ran()); n > 0 {
+		t.failf("a version that nobody has ordered got %d requests", n)
 	}
 	if t.bad {
-		t.checkGone()
+		t.checkRolledBack()
 	}
 }
 
-// checkGone checks that the bad version got no requests later than rollBackIn after its fiftieth failed
-// response or, without that many, one second after the end of the rollout.
-func (t *rolloutTrial) checkGone() {
+// checkRolledBack checks that the bad version got no requests later than rollBackIn after its fiftieth
+// failed response or, without that many, one second after the end of the rollout.
+func (t *rolloutTrial) checkRolledBack() {
 	limit := t.ended.Add(time.Second)
 	var bad []time.Time
-	for _, r := range t.young {
+	for _, r := range t.newEndpoints {
 		for i, x := range r.Ran() {
 			if i%3 == 0 {
 				bad = append(bad, x.At)
 			}
 		}
 	}
-	if len(bad) >= fiftieth {
-		limit = bad[fiftieth-1].Add(rollBackIn)
+	if len(bad) >= rollBackFailures {
+		limit = bad[rollBackFailures-1].Add(rollBackIn)
 	}
-	if n := runsWithin(t.young, limit, limit.Add(time.Hour)); n > 0 {
-		t.wrong("the bad version got %d requests after it was rolled back", n)
+	if n := runsWithin(t.newEndpoints, limit, limit.Add(time.Hour)); n > 0 {
+		t.failf("the bad version got %d requests after it was rolled back", n)
 	}
 }
 
@@ -369,11 +369,11 @@
 	for _, d := range t.daemons {
 		d.Kill()
 	}
-	for _, r := range append(append([]*standin.Runner{}, t.old...), t.young...) {
+	for _, r := range append(append([]*standin.Runner{}, t.oldEndpoints...), t.newEndpoints...) {
 		r.Close()
 	}
-	if t.stray != nil {
-		t.stray.Close()
+	if t.unordered != nil {
+		t.unordered.Close()
 	}
 	if t.store != nil {
 		t.store.Close()
--- a/internal/trial/run.go
+++ b/internal/trial/run.go
@@ -64,8 +64,8 @@
 	}
 }
 
-// adjust disables the mechanism that the policy names, if any.
-func (o Options) adjust(r *request.Options) {
+// disableMechanism disables the mechanism that the policy names, if any.
+func (o Options) disableMechanism(r *request.Options) {
 	r.NoLimit = o.Policy == "no-limit"
 	r.NoFairQueue = o.Policy == "no-fair-queue"
 	r.NoBudget = o.Policy == "no-budget"
@@ -92,10 +92,10 @@
 	balancer *balancer
 	report   *Report
 
-	mu      sync.Mutex
-	inForce time.Duration
-	changes int
-	first   map[string]bool // boxes that existed at the start
+	mu           sync.Mutex
+	inForce      time.Duration
+	changes      int
+	initialBoxes map[string]bool // boxes that existed at the start
 }
 
 // Run runs a trial. An error means that it could not be run; the report tells whether the
@@ -117,14 +117,14 @@
 		return nil, err
 	}
 	t := &trial{world: w, report: &Report{Seed: o.Seed, Fault: o.Fault}}
-	t.say("starting %d daemons and the boxes", o.Daemons)
+	t.progressf("starting %d daemons and the boxes", o.Daemons)
 	if err := w.setUp(ctx); err != nil {
 		w.close()
 		return nil, err
 	}
-	t.first = make(map[string]bool)
+	t.initialBoxes = make(map[string]bool)
 	for _, b := range w.cloud.Boxes() {
-		t.first[b.ID] = true
+		t.initialBoxes[b.ID] = true
 	}
 	run, cancel := context.WithCancel(ctx)
 	defer w.close()
@@ -164,14 +164,14 @@
 	t.report.Wrong = append(t.report.Wrong, fmt.Sprintf(format, args...))
 }
 
-func (t *trial) say(format string, args ...any) {
+func (t *trial) progressf(format string, args ...any) {
 	if t.opts.Progress != nil {
 		fmt.Fprintf(t.opts.Progress, format+"\n", args...)
 	}
 }
 
-// lastAnswers is the timeout for the last responses after the span.
-const lastAnswers = 90 * time.Second
+// completionTimeout is the timeout for the last responses after the span.
+const completionTimeout = 90 * time.Second
 
 // follow prints progress until all requests have ended.
 func (t *trial) follow(ctx context.Context, l *load, done <-chan struct{}) error {
@@ -187,8 +187,8 @@
 		case <-tick.C:
 			sent, ended := l.progress()
 			k := t.ledger.Tally()
-			t.say("%3.0f s  sent %d, ended %d, tokens %d, boxes leaving %d", time.Since(began).Seconds(), sent, ended, k.Generated, len(t.leaving()))
-			if time.Since(began) > t.opts.Span+lastAnswers {
+			t.progressf("%3.0f s  sent %d, ended %d, tokens %d, boxes leaving %d", time.Since(began).Seconds(), sent, ended, k.Generated, len(t.leavingBoxes()))
+			if time.Since(began) > t.opts.Span+completionTimeout {
 				return errors.Errorf("trial: %d requests have not ended", sent-ended)
 			}
 		}
@@ -233,7 +233,7 @@
 	if k.Cached+k.Prefilled > 0 {
 		r.PrefixReuse = float64(k.Cached) / float64(k.Cached+k.Prefilled)
 	}
-	r.BusiestRunner = max(t.busiest(office), t.busiest(podwave))
+	r.BusiestRunner = max(t.busiestRatio(office), t.busiestRatio(podwave))
 	r.Cost, r.CostAllOnDemand = t.cloud.Cost(time.Now())
 	for _, d := range t.daemons {
 		r.Moves += d.Server.Count.Moves.Load()
@@ -241,12 +241,12 @@
 	}
 }
 
-// busiest returns the requests of a partner's busiest runner divided by the mean, over
+// busiestRatio returns the requests of a partner's busiest runner divided by the mean, over
 // the runners that existed during the whole trial.
-func (t *trial) busiest(partner string) float64 {
+func (t *trial) busiestRatio(partner string) float64 {
 	most, sum, n := 0, 0, 0
 	for _, b := range t.cloud.Boxes() {
-		if b.Partner != partner || b.Class != gpuClass || b.State != seam.BoxLive || !t.first[b.ID] {
+		if b.Partner != partner || b.Class != gpuClass || b.State != seam.BoxLive || !t.initialBoxes[b.ID] {
 			continue
 		}
 		s := t.ledger.Served(b.ID)
@@ -262,17 +262,17 @@
 func (t *trial) hold(ctx context.Context) {
 	for _, d := range t.live() {
 		a := d.Addresses()
-		t.say("%s: callers http://%s, operators http://%s", d.Self.Name, a.Callers, a.Operators)
+		t.progressf("%s: callers http://%s, operators http://%s", d.Self.Name, a.Callers, a.Operators)
 	}
 	a := t.live()[0].Addresses()
-	t.say("\ncurl -N http://%s/v1/completions -H 'Authorization: Bearer %s' -d '{\"model\":\"quote-explainer\",\"prompt\":\"why did it move\",\"max_tokens\":20,\"stream\":true}'", a.Callers, token("caller", office, "mobile-app"))
-	t.say("curl http://%s/portal/item/7 -H 'Authorization: Bearer %s'", a.Callers, token("caller", office, "brokers"))
-	t.say("curl http://%s/v1/status -H 'Authorization: Bearer %s'", a.Operators, token("operator", office, "ops"))
+	t.progressf("\ncurl -N http://%s/v1/completions -H 'Authorization: Bearer %s' -d '{\"model\":\"quote-explainer\",\"prompt\":\"why did it move\",\"max_tokens\":20,\"stream\":true}'", a.Callers, token("caller", office, "mobile-app"))
+	t.progressf("curl http://%s/portal/item/7 -H 'Authorization: Bearer %s'", a.Callers, token("caller", office, "brokers"))
+	t.progressf("curl http://%s/v1/status -H 'Authorization: Bearer %s'", a.Operators, token("operator", office, "ops"))
 	s := t.settings(len(t.daemons), "silom", t.storeURL, t.cloudURL)
 	s.Listen = process.Listen{Callers: "127.0.0.1:18080", Operators: "127.0.0.1:18081", Peers: "127.0.0.1:18082"}
 	if b, err := json.Marshal(s); err == nil {
-		t.say("\nsettings of one more daemon, for streambend serve in a process of its own:\n%s", b)
+		t.progressf("\nsettings of one more daemon, for streambend serve in a process of its own:\n%s", b)
 	}
-	t.say("\nstop with Ctrl-C")
+	t.progressf("\nstop with Ctrl-C")
 	<-ctx.Done()
 }
--- a/internal/trial/world.go
+++ b/internal/trial/world.go
@@ -24,27 +24,27 @@
 
 // world holds the daemons and the stand-ins around them.
 type world struct {
-	opts   Options
-	rng    *rand.Rand
-	store  *standin.Store
-	cloud  *standin.Cloud
-	ledger *standin.Ledger
-	log    *logrus.Logger
-	http   *http.Client
-	stops  []func()
+	opts     Options
+	rng      *rand.Rand
+	store    *standin.Store
+	cloud    *standin.Cloud
+	ledger   *standin.Ledger
+	log      *logrus.Logger
+	http     *http.Client
+	cleanups []func()
 
 	storeURL string
 	cloudURL string
 	wg       sync.WaitGroup // goroutines other than the load
 
-	mu      sync.Mutex
-	daemons []*process.Daemon
-	gone    map[*process.Daemon]bool
-	bad     map[string]faulty // box ID to its stand-in
+	mu           sync.Mutex
+	daemons      []*process.Daemon
+	stopped      map[*process.Daemon]bool
+	faultTargets map[string]faultInjector // box ID to its stand-in
 }
 
-// faulty is a stand-in that supports fault injection.
-type faulty interface{ SetFault(standin.EngineFault) }
+// faultInjector is a stand-in that supports fault injection.
+type faultInjector interface{ SetFault(standin.EngineFault) }
 
 func token(kind, partner, name string) string { return kind + "-" + partner + "-" + name }
 
@@ -61,7 +61,7 @@
 	}
 	s := &http.Server{Handler: h}
 	go s.Serve(l)
-	w.stops = append(w.stops, func() { s.Close() })
+	w.cleanups = append(w.cleanups, func() { s.Close() })
 	return "http://" + l.Addr().String(), nil
 }
 
@@ -70,7 +70,7 @@
 	w := &world{
 		opts: o, rng: rand.New(rand.NewPCG(o.Seed, 1)), store: standin.NewStore(), ledger: standin.NewLedger(),
 		log: logrus.New(), http: seam.HTTPClient(o.Net, 0),
-		gone: make(map[*process.Daemon]bool), bad: make(map[string]faulty),
+		stopped: make(map[*process.Daemon]bool), faultTargets: make(map[string]faultInjector),
 	}
 	w.log.SetOutput(logs)
 	level, err := logrus.ParseLevel(o.LogLevel)
@@ -112,7 +112,7 @@
 		net = w.opts.DaemonNet
 	}
 	p := process.Adapters(s, net)
-	p.Adjust = w.opts.adjust
+	p.Adjust = w.opts.disableMechanism
 	if w.opts.Seams.Platform != nil {
 		p = w.opts.Seams.Platform(p)
 	}
@@ -172,13 +172,13 @@
 	if svc.Kind == version.Model {
 		e := standin.NewEngine(w.opts.Net, b.ID, engine(svc), w.ledger)
 		e.SetFault(w.opts.Seams.Engine)
-		w.bad[b.ID] = e
-		w.stops = append(w.stops, e.Kill)
+		w.faultTargets[b.ID] = e
+		w.cleanups = append(w.cleanups, e.Kill)
 		return e
 	}
 	p := standin.NewPlain(w.opts.Net, 4*time.Millisecond, w.ledger)
-	w.bad[b.ID] = p
-	w.stops = append(w.stops, p.Kill)
+	w.faultTargets[b.ID] = p
+	w.cleanups = append(w.cleanups, p.Kill)
 	return p
 }
 
@@ -188,26 +188,26 @@
 	defer w.mu.Unlock()
 	var out []*process.Daemon
 	for _, d := range w.daemons {
-		if !w.gone[d] {
+		if !w.stopped[d] {
 			out = append(out, d)
 		}
 	}
 	return out
 }
 
-func (w *world) markGone(d *process.Daemon) {
+func (w *world) markStopped(d *process.Daemon) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.gone[d] = true
+	w.stopped[d] = true
 }
 
 func (w *world) close() {
 	for _, d := range w.live() {
-		w.markGone(d)
+		w.markStopped(d)
 		d.Kill()
 	}
 	w.mu.Lock()
-	stops := w.stops
+	stops := w.cleanups
 	w.mu.Unlock()
 	for _, f := range stops {
 		f()
