--- a/internal/soak/check.go
+++ b/internal/soak/check.go
@@ -19,48 +19,48 @@
 	events int  // number of events in its stream; 0 for a plain response
 }
 
-// asked records a request that was sent, to check its outcome.
-type asked struct {
+// sentRequest records a request that was sent, to check its outcome.
+type sentRequest struct {
 	kind    kind
-	dead    bool // its API key had been revoked for longer than deadAfter
+	revoked bool // its API key had been revoked for longer than revocationBound
 	refused bool // the response stated that it has not run
 }
 
 // checker checks the guarantees against what callers and endpoints observe.
 type checker struct {
-	mu      sync.Mutex
-	asked   map[string]*asked
-	broken  []string
-	answers map[string]int // number of responses by status or error
-	calm    time.Time      // when the last fault ends
+	mu         sync.Mutex
+	requests   map[string]*sentRequest
+	violations []string
+	answers    map[string]int // number of responses by status or error
+	faultsEnd  time.Time      // when the last fault ends
 }
 
 func newChecker() *checker {
-	return &checker{asked: make(map[string]*asked), answers: make(map[string]int)}
+	return &checker{requests: make(map[string]*sentRequest), answers: make(map[string]int)}
 }
 
-// most is the maximum number of violations that are reported.
-const most = 20
+// maxViolations is the maximum number of violations that are reported.
+const maxViolations = 20
 
-func (c *checker) fail(format string, args ...any) {
-	if len(c.broken) < most {
-		c.broken = append(c.broken, fmt.Sprintf(format, args...))
+func (c *checker) failf(format string, args ...any) {
+	if len(c.violations) < maxViolations {
+		c.violations = append(c.violations, fmt.Sprintf(format, args...))
 	}
 }
 
-// send records a request before it is sent.
-func (c *checker) send(id string, k kind, dead bool) {
+// recordRequest records a request before it is sent.
+func (c *checker) recordRequest(id string, k kind, dead bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.asked[id] = &asked{kind: k, dead: dead}
+	c.requests[id] = &sentRequest{kind: k, revoked: dead}
 }
 
-// disturb records that a fault is in effect until a time.
-func (c *checker) disturb(until time.Time) {
+// extendFault records that a fault is in effect until a time.
+func (c *checker) extendFault(until time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if until.After(c.calm) {
-		c.calm = until
+	if until.After(c.faultsEnd) {
+		c.faultsEnd = until
 	}
 }
 
@@ -73,20 +73,20 @@
 	return b.String()
 }
 
-// settle is how long after a fault a connection may still break because of it.
-const settle = 3 * time.Second
+// settleTime is how long after a fault a connection may still break because of it.
+const settleTime = 3 * time.Second
 
-// answer checks and records the outcome of a request.
-func (c *checker) answer(id string, d *daemon, began time.Time, status int, body, signature string, err error) {
+// checkResponse checks and records the outcome of a request.
+func (c *checker) checkResponse(id string, d *daemon, began time.Time, status int, body, signature string, err error) {
 	now := time.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	a := c.asked[id]
+	a := c.requests[id]
 	if err != nil {
 		c.answers["broken off"]++
-		planned := d.lastPlanned()
-		if planned.After(began.Add(-time.Second)) && now.Sub(planned) < graceTime && now.After(c.calm.Add(settle)) && began.After(c.calm.Add(settle)) {
-			c.fail("a planned stop of %s cut %s off: %v", d.name, id, err)
+		planned := d.lastStop()
+		if planned.After(began.Add(-time.Second)) && now.Sub(planned) < gracePeriod && now.After(c.faultsEnd.Add(settleTime)) && began.After(c.faultsEnd.Add(settleTime)) {
+			c.failf("a planned stop of %s cut %s off: %v", d.name, id, err)
 		}
 		return
 	}
@@ -98,18 +98,18 @@
 			want = wholeStream(a.kind.events)
 		}
 		if body != want || signature == "" {
-			c.fail("%s got as whole what is not: %d bytes of %d, signed %q", id, len(body), len(want), signature)
+			c.failf("%s got as whole what is not: %d bytes of %d, signed %q", id, len(body), len(want), signature)
 		}
 	case status == 429 || status == 503 || status == 408 || status == 421:
 		a.refused = true
 		if signature != "" {
-			c.fail("%s got a refusal %d with an endpoint's signature", id, status)
+			c.failf("%s got a refusal %d with an endpoint's signature", id, status)
 		}
 	}
 }
 
-// runs checks the requests that the endpoints ran against the guarantees, and counts them.
-func (c *checker) runs(runners []*standin.Runner) (ran int) {
+// checkRuns checks the requests that the endpoints ran against the guarantees, and counts them.
+func (c *checker) checkRuns(runners []*standin.Runner) (ran int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	count := make(map[string]int)
@@ -117,28 +117,28 @@
 		for _, x := range r.Ran() {
 			count[x.ID]++
 			ran++
-			if a := c.asked[x.ID]; a == nil || x.Method != a.kind.method || !strings.HasPrefix(x.Target, a.kind.path) {
-				c.fail("%s ran and nobody asked for it so", x.ID)
+			if a := c.requests[x.ID]; a == nil || x.Method != a.kind.method || !strings.HasPrefix(x.Target, a.kind.path) {
+				c.failf("%s ran and nobody asked for it so", x.ID)
 			}
 		}
 	}
-	for id, a := range c.asked {
+	for id, a := range c.requests {
 		n := count[id]
 		switch {
 		case a.kind.once && n > 1:
-			c.fail("%s may run once and ran %d times", id, n)
+			c.failf("%s may run once and ran %d times", id, n)
 		case a.refused && n > 0:
-			c.fail("%s was refused as not run and ran", id)
-		case a.dead && n > 0:
-			c.fail("%s ran with a key that was taken away long before", id)
+			c.failf("%s was refused as not run and ran", id)
+		case a.revoked && n > 0:
+			c.failf("%s ran with a key that was taken away long before", id)
 		}
 	}
 	return ran
 }
 
-// duties checks that calls of the cloud API are consistent: a fencing token has one holder and never
+// checkDuties checks that calls of the cloud API are consistent: a fencing token has one holder and never
 // decreases, and a usage window is reported once or with equal content.
-func (c *checker) duties(calls []standin.DutyCall) {
+func (c *checker) checkDuties(calls []standin.DutyCall) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	reports := make(map[string]string)
@@ -146,11 +146,11 @@
 	newest := int64(0)
 	for _, x := range calls {
 		if h, ok := holders[x.Fence]; ok && h != x.Holder {
-			c.fail("fence %d was used by %s and %s", x.Fence, h, x.Holder)
+			c.failf("fence %d was used by %s and %s", x.Fence, h, x.Holder)
 		}
 		holders[x.Fence] = x.Holder
 		if x.Fence < newest {
-			c.fail("%s acted under fence %d after %d", x.Holder, x.Fence, newest)
+			c.failf("%s acted under fence %d after %d", x.Holder, x.Fence, newest)
 		}
 		newest = max(newest, x.Fence)
 		if x.Path != "/usage" {
@@ -158,7 +158,7 @@
 		}
 		window, _, _ := strings.Cut(x.Body, ",")
 		if before, ok := reports[window]; ok && before != x.Body {
-			c.fail("two reports of one window differ: %s and %s", before, x.Body)
+			c.failf("two reports of one window differ: %s and %s", before, x.Body)
 		}
 		reports[window] = x.Body
 	}
--- a/internal/soak/daemon.go
+++ b/internal/soak/daemon.go
@@ -17,8 +17,8 @@
 	"github.com/pkg/errors"
 )
 
-// graceTime is the time from SIGTERM to SIGKILL.
-const graceTime = 8 * time.Second
+// gracePeriod is the time from SIGTERM to SIGKILL.
+const gracePeriod = 8 * time.Second
 
 // daemon is a process of the program under test.
 type daemon struct {
@@ -30,12 +30,12 @@
 	checks   string // host:port
 	store    *Proxy
 
-	mu      sync.Mutex
-	cmd     *exec.Cmd
-	ended   chan struct{}
-	planned time.Time // of the last SIGTERM
-	ready   bool
-	hungUp  bool // a SIGHUP has terminated the process
+	mu            sync.Mutex
+	cmd           *exec.Cmd
+	ended         chan struct{}
+	stoppedAt     time.Time // of the last SIGTERM
+	ready         bool
+	endedBySIGHUP bool // a SIGHUP has terminated the process
 }
 
 // Ports allocates free loopback addresses, each only once: the system may assign a port again after
@@ -67,8 +67,8 @@
 	}
 }
 
-// ports allocates the addresses of all daemons.
-var ports Ports
+// daemonPorts allocates the addresses of all daemons.
+var daemonPorts Ports
 
 // newDaemon returns a daemon and writes its settings file.
 func newDaemon(o Options, i int, store *Proxy, cloud string, first bool) (*daemon, error) {
@@ -76,7 +76,7 @@
 	var addrs [3]string
 	for k := range addrs {
 		var err error
-		if addrs[k], err = ports.Next(); err != nil {
+		if addrs[k], err = daemonPorts.Next(); err != nil {
 			return nil, errors.Wrap(err, "soak: allocate port")
 		}
 	}
@@ -88,7 +88,7 @@
 		"listen_addresses": map[string]string{"frontend": addrs[0], "ready": addrs[1], "control_plane": addrs[2]},
 		"limits":           map[string]any{"cpu_share": 0.4, "memory_mb": 284},
 		"bounds": map[string]any{
-			"drain_ms": 2000, "grace_period_s": graceTime.Seconds(), "configuration_ms": 2000, "revocation_ms": 5000,
+			"drain_ms": 2000, "grace_period_s": gracePeriod.Seconds(), "configuration_ms": 2000, "revocation_ms": 5000,
 			"strict_revocation": true, "retry_budget_ratio": 0.2, "budget_window_s": 10, "retry_budget_slack": 56,
 			"quota_window_s": 8, "lease_ms": 3000, "usage_window_s": 5, "usage_lateness_s": 10,
 		},
@@ -127,7 +127,7 @@
 		status, ok := cmd.ProcessState.Sys().(syscall.WaitStatus)
 		d.mu.Lock()
 		defer d.mu.Unlock()
-		d.hungUp = d.hungUp || ok && status.Signaled() && status.Signal() == syscall.SIGHUP
+		d.endedBySIGHUP = d.endedBySIGHUP || ok && status.Signaled() && status.Signal() == syscall.SIGHUP
 		if d.cmd == cmd {
 			d.cmd = nil
 		}
@@ -146,7 +146,7 @@
 		return done
 	}
 	if s == syscall.SIGTERM {
-		d.planned = time.Now()
+		d.stoppedAt = time.Now()
 	}
 	d.cmd.Process.Signal(s) // fails only if the process has just ended
 	return d.ended
@@ -167,7 +167,7 @@
 	}
 	select {
 	case <-ended:
-	case <-time.After(graceTime):
+	case <-time.After(gracePeriod):
 		<-d.signal(syscall.SIGKILL)
 	}
 }
@@ -175,15 +175,15 @@
 // kill kills the process.
 func (d *daemon) kill() { <-d.signal(syscall.SIGKILL) }
 
-// lastPlanned returns the time of the last SIGTERM.
-func (d *daemon) lastPlanned() time.Time {
+// lastStop returns the time of the last SIGTERM.
+func (d *daemon) lastStop() time.Time {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.planned
+	return d.stoppedAt
 }
 
-// look polls the readiness endpoint as a load balancer does.
-func (d *daemon) look(c *http.Client) {
+// pollReadiness polls the readiness endpoint as a load balancer does.
+func (d *daemon) pollReadiness(c *http.Client) {
 	resp, err := c.Get("http://" + d.checks + "/streambend/readiness")
 	ok := err == nil && resp.StatusCode == http.StatusOK
 	if err == nil {
@@ -194,11 +194,11 @@
 	d.ready = ok
 }
 
-// wasHungUp reports whether a SIGHUP ever terminated the process.
-func (d *daemon) wasHungUp() bool {
+// wasEndedBySIGHUP reports whether a SIGHUP ever terminated the process.
+func (d *daemon) wasEndedBySIGHUP() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.hungUp
+	return d.endedBySIGHUP
 }
 
 func (d *daemon) isReady() bool {
--- a/internal/soak/events.go
+++ b/internal/soak/events.go
@@ -13,8 +13,8 @@
 	"streambend.example/platform"
 )
 
-// syscallCont resumes a paused process, which could not end otherwise.
-const syscallCont = syscall.SIGCONT
+// resumeSignal resumes a paused process, which could not end otherwise.
+const resumeSignal = syscall.SIGCONT
 
 // event is a fault or a change that lasts for a time and is then undone.
 type event struct {
@@ -46,8 +46,8 @@
 	}}
 }
 
-// links returns an event that sets the mode of a random proxy in front of the store or an endpoint.
-func links(m Mode) event {
+// proxyFault returns an event that sets the mode of a random proxy in front of the store or an endpoint.
+func proxyFault(m Mode) event {
 	return event{"link " + m.String(), true, func(w *world) func() {
 		p := w.anyDaemon().store
 		if w.rng.IntN(2) == 0 {
@@ -65,13 +65,13 @@
 			d := w.anyDaemon()
 			d.signal(syscall.SIGCONT)
 			d.kill()
-			return func() { w.startAgain(d) }
+			return func() { w.restart(d) }
 		}},
 		{"planned stop", false, func(w *world) func() {
 			d := w.anyDaemon()
 			w.wg.Go(func() {
 				d.stop()
-				w.startAgain(d)
+				w.restart(d)
 			})
 			return func() {}
 		}},
@@ -102,20 +102,20 @@
 		}},
 		{"endpoint leaves", false, func(w *world) func() {
 			i := w.anyRunner()
-			w.enter(i, "draining")
-			return func() { w.enter(i, "ready") }
+			w.putEndpoint(i, "draining")
+			return func() { w.putEndpoint(i, "ready") }
 		}},
 		storeFault("busy", standin.RowsFault{Busy: true}), storeFault("silent", standin.RowsFault{Silent: true}),
 		storeFault("slow", standin.RowsFault{Delay: 250 * time.Millisecond}), storeFault("loses answers", standin.RowsFault{Lost: true}),
 		runnerFault("does not run", standin.RunnerFault{NotRun: true}), runnerFault("fails", standin.RunnerFault{Fail: true}),
 		runnerFault("mixes answers", standin.RunnerFault{OtherID: true}), runnerFault("cuts", standin.RunnerFault{CutAfter: 3, CutEvent: true, CutAnswer: true}),
 		runnerFault("is mute", standin.RunnerFault{Mute: true}),
-		links(Delay), links(Silence), links(OneWay), links(Reset),
+		proxyFault(Delay), proxyFault(Silence), proxyFault(OneWay), proxyFault(Reset),
 	}
 }
 
-// disturb starts random events until ctx ends; they may overlap.
-func (w *world) disturb(ctx context.Context) {
+// injectEvents starts random events until ctx ends; they may overlap.
+func (w *world) injectEvents(ctx context.Context) {
 	list := events()
 	if w.o.Lie {
 		for _, r := range w.runners {
@@ -123,39 +123,39 @@
 		}
 	}
 	for {
-		pause(ctx, time.Duration(200+w.rng.IntN(900))*time.Millisecond)
+		sleepFor(ctx, time.Duration(200+w.rng.IntN(900))*time.Millisecond)
 		e := list[w.rng.IntN(len(list))]
 		length := time.Duration(200+w.rng.IntN(2800)) * time.Millisecond
 		if ctx.Err() != nil {
 			return
 		}
-		w.say("%s for %s", e.name, length)
+		w.progressf("%s for %s", e.name, length)
 		w.events[e.name]++
 		if e.fault {
-			w.check.disturb(time.Now().Add(length))
+			w.check.extendFault(time.Now().Add(length))
 		}
 		undo := e.begin(w)
 		w.wg.Go(func() {
 			time.Sleep(length)
 			undo()
 			if e.fault {
-				w.check.disturb(time.Now())
+				w.check.extendFault(time.Now())
 			}
 		})
 	}
 }
 
-func (w *world) startAgain(d *daemon) {
+func (w *world) restart(d *daemon) {
 	if err := d.start(); err != nil {
-		w.say("%s does not start: %v", d.name, err)
+		w.progressf("%s does not start: %v", d.name, err)
 	}
 }
 
 // revoke replaces the oldest key.
 func (w *world) revoke() {
 	w.mu.Lock()
-	w.dead[w.keys[0]] = time.Now()
-	w.keys = append(w.keys[1:], fmt.Sprintf("key-%d", len(w.dead)+len(w.keys)))
+	w.revoked[w.keys[0]] = time.Now()
+	w.keys = append(w.keys[1:], fmt.Sprintf("key-%d", len(w.revoked)+len(w.keys)))
 	w.mu.Unlock()
 	w.putCatalog()
 }
@@ -165,7 +165,7 @@
 func (w *world) rollOut() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	version := fmt.Sprintf("v%d", 2+len(w.later))
+	version := fmt.Sprintf("v%d", 2+len(w.rolledOut))
 	f := standin.RunnerFault{Lie: w.o.Lie}
 	if w.rng.IntN(2) == 0 {
 		f.FailEach = 2
@@ -178,15 +178,15 @@
 	for i := range 2 {
 		r, err := w.addVersion(fmt.Sprintf("i-%s-%d", version, i), version, f)
 		if err != nil {
-			w.say("%s does not start: %v", version, err)
+			w.progressf("%s does not start: %v", version, err)
 			return
 		}
-		w.later = append(w.later, r)
+		w.rolledOut = append(w.rolledOut, r)
 	}
 }
 
-// enter writes the row of an endpoint in the store.
-func (w *world) enter(i int, state string) {
+// putEndpoint writes the row of an endpoint in the store.
+func (w *world) putEndpoint(i int, state string) {
 	r, service := w.runners[i], "engines"
 	if i%2 == 1 {
 		service = "plain"
--- a/internal/soak/ports_test.go
+++ b/internal/soak/ports_test.go
@@ -12,7 +12,7 @@
 
 // Guards against a daemon that exits at its start because it got the same port for callers and for
 // readiness, as with seed 319.
-func TestAPortIsHandedOutOnce(t *testing.T) {
+func TestPortsAreUnique(t *testing.T) {
 	var p soak.Ports
 	seen := make(map[string]bool)
 	for range 4000 {
--- a/internal/soak/proxy.go
+++ b/internal/soak/proxy.go
@@ -95,8 +95,8 @@
 	}
 }
 
-// keep registers a connection, or resets it and returns false.
-func (p *Proxy) keep(c *net.TCPConn) bool {
+// register registers a connection, or resets it and returns false.
+func (p *Proxy) register(c *net.TCPConn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.closed || p.mode == Reset {
@@ -108,7 +108,7 @@
 	return true
 }
 
-func (p *Proxy) drop(c *net.TCPConn) {
+func (p *Proxy) unregister(c *net.TCPConn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.conns, c)
@@ -116,40 +116,40 @@
 }
 
 func (p *Proxy) serve(in *net.TCPConn) {
-	if !p.keep(in) {
+	if !p.register(in) {
 		return
 	}
-	defer p.drop(in)
+	defer p.unregister(in)
 	conn, err := net.Dial("tcp", p.target)
 	if err != nil {
 		in.SetLinger(0)
 		return
 	}
 	out := conn.(*net.TCPConn)
-	if !p.keep(out) {
+	if !p.register(out) {
 		return
 	}
-	defer p.drop(out)
+	defer p.unregister(out)
 	done := make(chan struct{}, 2)
 	go func() {
-		p.copy(out, in, false)
+		p.forward(out, in, false)
 		done <- struct{}{}
 	}()
 	go func() {
-		p.copy(in, out, true)
+		p.forward(in, out, true)
 		done <- struct{}{}
 	}()
 	<-done
 	<-done
 }
 
-// copy forwards bytes until one side closes.
-func (p *Proxy) copy(to, from *net.TCPConn, back bool) {
+// forward forwards bytes until one side closes.
+func (p *Proxy) forward(to, from *net.TCPConn, back bool) {
 	buf := make([]byte, 16<<10)
 	for {
 		n, err := from.Read(buf)
 		if n > 0 {
-			if !p.hold(back) {
+			if !p.waitToForward(back) {
 				return
 			}
 			if _, err := to.Write(buf[:n]); err != nil {
@@ -164,8 +164,8 @@
 	}
 }
 
-// hold waits until bytes may pass in a direction; it returns false if the proxy is closed.
-func (p *Proxy) hold(back bool) bool {
+// waitToForward waits until bytes may pass in a direction; it returns false if the proxy is closed.
+func (p *Proxy) waitToForward(back bool) bool {
 	for {
 		p.mu.Lock()
 		mode, changed, closed := p.mode, p.changed, p.closed
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -65,23 +65,23 @@
 	client  *http.Client // for readiness checks
 	began   time.Time
 
-	mu      sync.Mutex
-	runners []*standin.Runner
-	proxies []*Proxy          // in front of the runners, by the same index
-	later   []*standin.Runner // of versions rolled out during the run
-	stray   *standin.Runner   // of a version that no rollout orders
-	events  map[string]int
-	version int64
-	keys    []string
-	dead    map[string]time.Time // API key to the time of its revocation
-	wg      sync.WaitGroup
+	mu        sync.Mutex
+	runners   []*standin.Runner
+	proxies   []*Proxy          // in front of the runners, by the same index
+	rolledOut []*standin.Runner // of versions rolled out during the run
+	unordered *standin.Runner   // of a version that no rollout orders
+	events    map[string]int
+	version   int64
+	keys      []string
+	revoked   map[string]time.Time // API key to the time of its revocation
+	wg        sync.WaitGroup
 }
 
 // Run runs a soak test. An error means that it could not be run.
 func Run(ctx context.Context, o Options) (*Report, error) {
 	w := &world{
 		o: o, rng: rand.New(rand.NewPCG(o.Seed, 7)), check: newChecker(), events: make(map[string]int),
-		dead: make(map[string]time.Time), keys: []string{"key-0", "key-1"}, client: &http.Client{Timeout: 500 * time.Millisecond},
+		revoked: make(map[string]time.Time), keys: []string{"key-0", "key-1"}, client: &http.Client{Timeout: 500 * time.Millisecond},
 	}
 	defer w.close()
 	if err := w.setUp(); err != nil {
@@ -89,27 +89,27 @@
 	}
 	run, cancel := context.WithTimeout(ctx, o.Span)
 	defer cancel()
-	w.wg.Go(func() { w.balance(run) })
+	w.wg.Go(func() { w.watchReadiness(run) })
 	for i := range o.Callers {
 		rng := rand.New(rand.NewPCG(o.Seed, uint64(100+i)))
-		w.wg.Go(func() { w.call(run, i, rng) })
+		w.wg.Go(func() { w.runCaller(run, i, rng) })
 	}
-	w.disturb(run)
+	w.injectEvents(run)
 	w.wg.Wait()
-	ran := w.check.runs(append(append([]*standin.Runner{}, w.runners...), w.later...))
-	if n := len(w.stray.Ran()); n > 0 {
-		w.check.fail("a version that nobody has ordered ran %d requests", n)
+	ran := w.check.checkRuns(append(append([]*standin.Runner{}, w.runners...), w.rolledOut...))
+	if n := len(w.unordered.Ran()); n > 0 {
+		w.check.failf("a version that nobody has ordered ran %d requests", n)
 	}
-	w.check.duties(append(w.api.Calls("/usage"), w.api.Calls("/scale")...))
+	w.check.checkDuties(append(w.api.Calls("/usage"), w.api.Calls("/scale")...))
 	for _, d := range w.daemons {
-		if d.wasHungUp() {
-			w.check.fail("%s ended at a change of its settings", d.name)
+		if d.wasEndedBySIGHUP() {
+			w.check.failf("%s ended at a change of its settings", d.name)
 		}
 	}
-	return &Report{Seed: o.Seed, Asked: len(w.check.asked), Ran: ran, Answers: w.check.answers, Events: w.events, Broken: w.check.broken}, nil
+	return &Report{Seed: o.Seed, Asked: len(w.check.requests), Ran: ran, Answers: w.check.answers, Events: w.events, Broken: w.check.violations}, nil
 }
 
-func (w *world) say(format string, args ...any) {
+func (w *world) progressf(format string, args ...any) {
 	if w.o.Say != nil {
 		fmt.Fprintf(w.o.Say, "%6.2f s  "+format+"\n", append([]any{time.Since(w.began).Seconds()}, args...)...)
 	}
@@ -148,12 +148,12 @@
 	for range 100 {
 		ready := 0
 		for _, d := range w.daemons {
-			if d.look(w.client); d.isReady() {
+			if d.pollReadiness(w.client); d.isReady() {
 				ready++
 			}
 		}
 		if ready == len(w.daemons) {
-			return w.addStray()
+			return w.addUnordered()
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
@@ -195,10 +195,10 @@
 	return r, nil
 }
 
-// addStray starts an endpoint of a version that no rollout orders. It is called once the daemons know
+// addUnordered starts an endpoint of a version that no rollout orders. It is called once the daemons know
 // the current version of the service.
-func (w *world) addStray() (err error) {
-	w.stray, err = w.addVersion("i-stray", "v0", standin.RunnerFault{})
+func (w *world) addUnordered() (err error) {
+	w.unordered, err = w.addVersion("i-stray", "v0", standin.RunnerFault{})
 	return err
 }
 
@@ -233,34 +233,34 @@
 	w.store.Put(platform.CatalogTable, "", "config", b)
 }
 
-// balance polls the readiness of the daemons until ctx ends.
-func (w *world) balance(ctx context.Context) {
+// watchReadiness polls the readiness of the daemons until ctx ends.
+func (w *world) watchReadiness(ctx context.Context) {
 	for ctx.Err() == nil {
 		for _, d := range w.daemons {
-			d.look(w.client)
+			d.pollReadiness(w.client)
 		}
-		pause(ctx, 300*time.Millisecond)
+		sleepFor(ctx, 300*time.Millisecond)
 	}
 }
 
-// deadAfter is the time after the revocation of a key from which every daemon must reject it.
-const deadAfter = 5 * time.Second
+// revocationBound is the time after the revocation of a key from which every daemon must reject it.
+const revocationBound = 5 * time.Second
 
 // key returns a random API key and whether every daemon must reject it by now.
 func (w *world) key(rng *rand.Rand) (key string, dead bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for k, at := range w.dead {
+	for k, at := range w.revoked {
 		if rng.IntN(20) == 0 {
-			return k, time.Since(at) > deadAfter
+			return k, time.Since(at) > revocationBound
 		}
 	}
 	return w.keys[rng.IntN(len(w.keys))], false
 }
 
-// call sends one request at a time. It stays with a daemon, even one that is stopping, until a
+// runCaller sends one request at a time. It stays with a daemon, even one that is stopping, until a
 // connection breaks or it has sent 30 requests.
-func (w *world) call(ctx context.Context, caller int, rng *rand.Rand) {
+func (w *world) runCaller(ctx context.Context, caller int, rng *rand.Rand) {
 	client := &http.Client{Timeout: 8 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 2}}
 	defer client.CloseIdleConnections()
 	var d *daemon
@@ -269,10 +269,10 @@
 			d = w.pick(rng)
 		}
 		id := fmt.Sprintf("s%d-c%d-%d", w.o.Seed, caller, n)
-		if !w.one(client, d, id, kinds[rng.IntN(len(kinds))], rng) {
+		if !w.sendRequest(client, d, id, kinds[rng.IntN(len(kinds))], rng) {
 			d = nil
 		}
-		pause(ctx, time.Duration(rng.IntN(30))*time.Millisecond)
+		sleepFor(ctx, time.Duration(rng.IntN(30))*time.Millisecond)
 	}
 }
 
@@ -287,8 +287,8 @@
 	return w.daemons[start]
 }
 
-// one sends a request and checks its response; it returns false if the connection broke.
-func (w *world) one(client *http.Client, d *daemon, id string, k kind, rng *rand.Rand) bool {
+// sendRequest sends a request and checks its response; it returns false if the connection broke.
+func (w *world) sendRequest(client *http.Client, d *daemon, id string, k kind, rng *rand.Rand) bool {
 	key, dead := w.key(rng)
 	var body io.Reader
 	if k.method == http.MethodPost {
@@ -304,34 +304,34 @@
 		ID: id, Key: key, Wait: 5 * time.Second, Tokens: "900,60",
 		Prompt: fmt.Sprintf("a1:300,%x:400,%x:200", 16+rng.IntN(20), rng.Uint32()),
 	}.Write(req.Header)
-	w.check.send(id, k, dead)
+	w.check.recordRequest(id, k, dead)
 	began := time.Now()
 	resp, err := client.Do(req)
 	if err != nil {
-		w.check.answer(id, d, began, 0, "", "", err)
+		w.check.checkResponse(id, d, began, 0, "", "", err)
 		return false
 	}
 	defer resp.Body.Close()
 	b, err := io.ReadAll(resp.Body)
-	w.check.answer(id, d, began, resp.StatusCode, string(b), standin.SignedBy(resp.Header), err)
+	w.check.checkResponse(id, d, began, resp.StatusCode, string(b), standin.SignedBy(resp.Header), err)
 	return err == nil
 }
 
 // close stops all processes, proxies and stand-ins.
 func (w *world) close() {
 	for _, d := range w.daemons {
-		d.signal(syscallCont)
+		d.signal(resumeSignal)
 		d.kill()
 		d.store.Close()
 	}
 	for _, p := range w.proxies {
 		p.Close()
 	}
-	for _, r := range append(append([]*standin.Runner{}, w.runners...), w.later...) {
+	for _, r := range append(append([]*standin.Runner{}, w.runners...), w.rolledOut...) {
 		r.Close()
 	}
-	if w.stray != nil {
-		w.stray.Close()
+	if w.unordered != nil {
+		w.unordered.Close()
 	}
 	if w.store != nil {
 		w.store.Close()
@@ -341,7 +341,7 @@
 	}
 }
 
-func pause(ctx context.Context, d time.Duration) {
+func sleepFor(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
 	case <-time.After(d):
