--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -300,7 +300,7 @@
 	}
 	req.GetBody = nil // prevents a resend by the client, which would count the id twice
 	req.Host = host
-	standin.CallerHead{
+	standin.CallerHeaders{
 		ID: id, Key: key, Wait: 5 * time.Second, Tokens: "900,60",
 		Prompt: fmt.Sprintf("a1:300,%x:400,%x:200", 16+rng.IntN(20), rng.Uint32()),
 	}.Write(req.Header)
--- a/internal/standin/caller.go
+++ b/internal/standin/caller.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// CallerHead holds the request headers that clients of the users' platform send.
-type CallerHead struct {
+// CallerHeaders holds the request headers that clients of the users' platform send.
+type CallerHeaders struct {
 	ID     string
 	Key    string
 	Wait   time.Duration
@@ -18,7 +18,7 @@
 }
 
 // Write sets the headers on h.
-func (c CallerHead) Write(h http.Header) {
+func (c CallerHeaders) Write(h http.Header) {
 	h.Set("Streambend-Request-Id", c.ID)
 	h.Set("Streambend-Deadline-Milliseconds", strconv.FormatInt(c.Wait.Milliseconds(), 10))
 	h.Set("Streambend-Token-Counts", c.Tokens)
--- a/internal/standin/duty.go
+++ b/internal/standin/duty.go
@@ -59,11 +59,11 @@
 // Close stops the server.
 func (a *DutyAPI) Close() { a.server.Close() }
 
-// SetDry sets whether orders of reclaimable endpoints are rejected.
-func (a *DutyAPI) SetDry(dry bool) {
+// SetNoReclaimable sets whether orders of reclaimable endpoints are rejected.
+func (a *DutyAPI) SetNoReclaimable(noReclaimable bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.noReclaimable = dry
+	a.noReclaimable = noReclaimable
 }
 
 // SetLose sets whether calls take effect but get an error response.
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -16,14 +16,14 @@
 
 // EngineConfig sets the speed and the capacity of a model engine.
 type EngineConfig struct {
-	Batch       int           // maximum number of requests in the batch
-	Step        time.Duration // time per token of a request in an empty batch
-	Crowd       float64       // fraction by which a full batch lengthens Step
-	Prefill     float64       // prompt tokens per second
-	CacheBlocks int           // capacity of the prefix cache in blocks
-	Lag         time.Duration // delay of the load report
-	Transfer    float64       // tokens of KV cache per second over the network
-	ChecksFence bool
+	Batch         int           // maximum number of requests in the batch
+	Step          time.Duration // time per token of a request in an empty batch
+	BatchSlowdown float64       // fraction by which a full batch lengthens Step
+	Prefill       float64       // prompt tokens per second
+	CacheBlocks   int           // capacity of the prefix cache in blocks
+	Lag           time.Duration // delay of the load report
+	Transfer      float64       // tokens of KV cache per second over the network
+	ChecksFence   bool
 }
 
 // EngineFault selects the faults that an engine injects. The zero value injects none.
@@ -204,7 +204,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	full := float64(e.running) / float64(e.cfg.Batch)
-	return time.Duration(float64(e.cfg.Step) * (1 + e.cfg.Crowd*full) * float64(max(e.fault.SlowTimes, 1)))
+	return time.Duration(float64(e.cfg.Step) * (1 + e.cfg.BatchSlowdown*full) * float64(max(e.fault.SlowTimes, 1)))
 }
 
 // pause waits for d and returns false if the request or the engine ends before.
--- a/internal/standin/ledger.go
+++ b/internal/standin/ledger.go
@@ -59,16 +59,16 @@
 
 // Tally holds the counters of a Ledger.
 type Tally struct {
-	Generated   int // tokens decoded
-	Prefilled   int // prompt tokens computed
-	Cached      int // prompt tokens found in a cache
-	Recomputed  int // tokens in blocks that had been computed before
-	Repeated    int // those of Recomputed whose request had already begun elsewhere
-	RanTwice    int // non-idempotent requests that began more than once
-	Began       int // requests that began execution
-	StaleOrders int // orders with an outdated epoch
-	Orders      int
-	LeavingMax  time.Duration // longest time from a notice to a request that arrived after it
+	Generated             int // tokens decoded
+	Prefilled             int // prompt tokens computed
+	Cached                int // prompt tokens found in a cache
+	Recomputed            int // tokens in blocks that had been computed before
+	Repeated              int // those of Recomputed whose request had already begun elsewhere
+	RanTwice              int // non-idempotent requests that began more than once
+	Began                 int // requests that began execution
+	StaleOrders           int // orders with an outdated epoch
+	Orders                int
+	MaxNewWorkAfterNotice time.Duration // longest time from a notice to a request that arrived after it
 }
 
 // Ledger counts what all endpoints of a trial do. The code under test never
@@ -121,7 +121,7 @@
 func (l *Ledger) countWhileLeaving(d time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.tally.LeavingMax = max(l.tally.LeavingMax, d)
+	l.tally.MaxNewWorkAfterNotice = max(l.tally.MaxNewWorkAfterNotice, d)
 }
 
 func (l *Ledger) countOrder(stale bool) {
--- a/internal/trial/caller.go
+++ b/internal/trial/caller.go
@@ -161,7 +161,7 @@
 // remainingWait returns how long the caller will still wait for a result; 0 means
 // until the deadline of the route.
 func (w *world) remainingWait(res *result) time.Duration {
-	if !w.opts.Hurry {
+	if !w.opts.SetDeadline {
 		return 0
 	}
 	return max(3*res.r.target/2-time.Since(res.began), time.Millisecond)
--- a/internal/trial/compare.go
+++ b/internal/trial/compare.go
@@ -41,7 +41,7 @@
 			o.Span, o.Rate, o.Script = 8*time.Second, 2, []Step{{At: 0.6, Event: "reclaim"}}
 		}},
 		{"twice the sustainable load on a quarter of the boxes", []string{"ours", "no-limit", "no-fair-queue"}, func(o *Options) {
-			o.Span, o.Rate, o.Boxes, o.Hurry, o.Script = 15*time.Second, 2.4, 0.23, true, []Step{}
+			o.Span, o.Rate, o.Boxes, o.SetDeadline, o.Script = 15*time.Second, 2.4, 0.23, true, []Step{}
 		}},
 		{"bad endpoints", []string{"ours", "no-budget"}, func(o *Options) {
 			o.Span, o.Script = 10*time.Second, []Step{{At: 0.1, Event: "bad-endpoint"}}
--- a/internal/trial/events.go
+++ b/internal/trial/events.go
@@ -136,7 +136,7 @@
 	}
 	t.balancer.markStopping(d)
 	t.progressf("       planned stop of %s", d.Self.Name)
-	if stop := t.opts.Seams.Stop; stop != nil {
+	if stop := t.opts.Hooks.Stop; stop != nil {
 		stop(ctx, d)
 	} else {
 		d.Stop(ctx)
@@ -162,7 +162,7 @@
 				if err != nil {
 					continue
 				}
-				if see := t.opts.Seams.Version; see != nil {
+				if see := t.opts.Hooks.Version; see != nil {
 					row.Rev = see(d, row.Rev)
 				}
 				mu.Lock()
--- a/internal/trial/list_test.go
+++ b/internal/trial/list_test.go
@@ -32,7 +32,7 @@
 func TestOlderBoxListRemovesNoEndpoint(t *testing.T) {
 	o := trial.DefaultOptions()
 	o.Rate, o.Span, o.Script = 0.3, 8*time.Second, []trial.Step{}
-	o.Seams.Platform = func(p process.Platform) process.Platform {
+	o.Hooks.Platform = func(p process.Platform) process.Platform {
 		p.Boxes = olderBoxList{p.Boxes, time.Now()}
 		return p
 	}
--- a/internal/trial/load.go
+++ b/internal/trial/load.go
@@ -76,7 +76,7 @@
 	return b.closed[d]
 }
 
-// floodTeam is the team whose request rate Options.Flood multiplies.
+// floodTeam is the team whose request rate Options.FloodFactor multiplies.
 const floodTeam = "disclosure"
 
 // load sends the requests of each job at its rate until the span is over, and collects
@@ -102,7 +102,7 @@
 	for i, j := range jobs() {
 		j.perSecond *= w.opts.Rate
 		if j.team == floodTeam {
-			j.perSecond *= w.opts.Flood
+			j.perSecond *= w.opts.FloodFactor
 		}
 		rng := rand.New(rand.NewPCG(w.opts.Seed, uint64(100+i)))
 		l.wg.Add(1)
--- a/internal/trial/planted_test.go
+++ b/internal/trial/planted_test.go
@@ -24,19 +24,19 @@
 // injected through an interface of the product or of its environment.
 type plantedFault struct {
 	name  string
-	seams trial.Seams
+	hooks trial.Hooks
 }
 
 // plantedFaults returns one defect for each guarantee, in their order.
 func plantedFaults() []plantedFault {
 	return []plantedFault{
-		{"drop-moved", trial.Seams{Judge: dropMoved}},
-		{"repeat-token", trial.Seams{Engine: standin.EngineFault{Repeat: true}}},
-		{"refuse-after-send", trial.Seams{Judge: refuseAfterSend}},
-		{"rerun-unrepeatable", trial.Seams{Judge: rerunUnrepeatable}},
-		{"route-to-leaving", trial.Seams{Platform: hideLeaving}},
-		{"cut-on-stop", trial.Seams{Stop: func(_ context.Context, d *process.Daemon) { d.Kill() }}},
-		{"revert-config", trial.Seams{Version: revertVersions()}},
+		{"drop-moved", trial.Hooks{Judge: dropMoved}},
+		{"repeat-token", trial.Hooks{Engine: standin.EngineFault{Repeat: true}}},
+		{"refuse-after-send", trial.Hooks{Judge: refuseAfterSend}},
+		{"rerun-unrepeatable", trial.Hooks{Judge: rerunUnrepeatable}},
+		{"route-to-leaving", trial.Hooks{Platform: hideLeaving}},
+		{"cut-on-stop", trial.Hooks{Stop: func(_ context.Context, d *process.Daemon) { d.Kill() }}},
+		{"revert-config", trial.Hooks{Version: revertVersions()}},
 	}
 }
 
@@ -105,7 +105,7 @@
 			t.Parallel()
 			for n := range maxDetectionRuns {
 				o := randomScript().Example(n)
-				o.Seams = f.seams
+				o.Hooks = f.hooks
 				r := virtual(t, o)
 				if p := r.Promises()[i]; !p.Held {
 					t.Logf("found in run %d: %s: %s; script %v", n+1, p.Text, p.Note, o.Script)
--- a/internal/trial/rollout.go
+++ b/internal/trial/rollout.go
@@ -286,7 +286,7 @@
 		panic(err) // the URL is always valid
 	}
 	req.Host = rolloutHost
-	standin.CallerHead{ID: id, Wait: 8 * time.Second, Tokens: "900,60", Prompt: fmt.Sprintf("a1:300,%x:400,%x:200", 16+i%20, i)}.Write(req.Header)
+	standin.CallerHeaders{ID: id, Wait: 8 * time.Second, Tokens: "900,60", Prompt: fmt.Sprintf("a1:300,%x:400,%x:200", 16+i%20, i)}.Write(req.Header)
 	resp, err := client.Do(req)
 	body, signed := []byte(nil), false
 	if err == nil {
--- a/internal/trial/run.go
+++ b/internal/trial/run.go
@@ -21,29 +21,29 @@
 
 // Options configures a trial. DefaultOptions returns the default values.
 type Options struct {
-	Seed     uint64
-	Policy   string // one of Policies
-	Fault    string // one of Faults, or ""
-	Script   []Step // events and their times; nil for Script(Fault)
-	Daemons  int
-	Span     time.Duration // period during which requests are sent
-	Rate     float64       // multiple of the default load
-	Flood    float64       // further multiple for the team "disclosure"
-	Boxes    float64       // fraction of the default number of boxes; unless 1, the number is constant
-	Hurry    bool          // callers set a deadline of 1.5 times the target, less the time already spent
-	LogLevel string
-	Progress io.Writer // human-readable progress; nil for none
-	Net      seam.Network
+	Seed        uint64
+	Policy      string // one of Policies
+	Fault       string // one of Faults, or ""
+	Script      []Step // events and their times; nil for Script(Fault)
+	Daemons     int
+	Span        time.Duration // period during which requests are sent
+	Rate        float64       // multiple of the default load
+	FloodFactor float64       // further multiple for the team "disclosure"
+	Boxes       float64       // fraction of the default number of boxes; unless 1, the number is constant
+	SetDeadline bool          // callers set a deadline of 1.5 times the target, less the time already spent
+	LogLevel    string
+	Progress    io.Writer // human-readable progress; nil for none
+	Net         seam.Network
 	// DaemonNet is the network on which the daemons dial, for measurements; nil
 	// for Net.
 	DaemonNet seam.Network
 	Hold      bool // after the trial, keep the system running until ctx ends
-	Seams     Seams
+	Hooks     Hooks
 }
 
-// Seams are hooks through which a test injects defects, to verify that the check of a guarantee can
+// Hooks holds the hooks through which a test injects defects, to verify that the check of a guarantee can
 // fail. The zero value injects none.
-type Seams struct {
+type Hooks struct {
 	Judge    request.JudgePolicy                                 // decides what follows an attempt
 	Platform func(p process.Platform) process.Platform           // wraps the platform of a daemon
 	Engine   standin.EngineFault                                 // fault of every engine from its start
@@ -53,7 +53,7 @@
 
 // DefaultOptions returns the options of "streambend try".
 func DefaultOptions() Options {
-	return Options{Seed: 1, Policy: "ours", Daemons: 4, Span: 14 * time.Second, Rate: 1, Flood: 1, Boxes: 1, LogLevel: "error", Net: seam.TCP{}}
+	return Options{Seed: 1, Policy: "ours", Daemons: 4, Span: 14 * time.Second, Rate: 1, FloodFactor: 1, Boxes: 1, LogLevel: "error", Net: seam.TCP{}}
 }
 
 // Policies returns the valid values of Options.Policy.
@@ -69,7 +69,7 @@
 	r.NoLimit = o.Policy == "no-limit"
 	r.NoFairQueue = o.Policy == "no-fair-queue"
 	r.NoBudget = o.Policy == "no-budget"
-	r.Judge = o.Seams.Judge
+	r.Judge = o.Hooks.Judge
 }
 
 // policies returns the routing, moving and placement policies.
@@ -222,7 +222,7 @@
 	r, k := t.report, t.ledger.Tally()
 	r.count(l.results)
 	r.RanTwice = k.RanTwice
-	r.LeavingNewWorkMax = k.LeavingMax.Seconds()
+	r.LeavingNewWorkMax = k.MaxNewWorkAfterNotice.Seconds()
 	r.ConfigInForceMax = t.inForce.Seconds()
 	r.ConfigChanges = t.changes
 	r.ConfigReverts = reverts()
--- a/internal/trial/trial_test.go
+++ b/internal/trial/trial_test.go
@@ -92,10 +92,10 @@
 }
 
 // overload runs a trial with a quarter of the boxes and without scaling.
-func overload(t *testing.T, rate, flood float64) *trial.Report {
+func overload(t *testing.T, rate, floodFactor float64) *trial.Report {
 	o := trial.DefaultOptions()
-	o.Span, o.Rate, o.Flood, o.Boxes, o.Script = 24*time.Second, rate, flood, 0.23, []trial.Step{}
-	o.Hurry = true
+	o.Span, o.Rate, o.FloodFactor, o.Boxes, o.Script = 24*time.Second, rate, floodFactor, 0.23, []trial.Step{}
+	o.SetDeadline = true
 	return virtual(t, o)
 }
 
--- a/internal/trial/workload.go
+++ b/internal/trial/workload.go
@@ -127,7 +127,7 @@
 // engine returns the engine configuration of the trial's runners.
 func engine(svc version.Service) standin.EngineConfig {
 	return standin.EngineConfig{
-		Batch: 16, Step: 5 * time.Millisecond, Crowd: 1, Prefill: 20000, CacheBlocks: 900,
+		Batch: 16, Step: 5 * time.Millisecond, BatchSlowdown: 1, Prefill: 20000, CacheBlocks: 900,
 		Lag: 200 * time.Millisecond, Transfer: 20000, ChecksFence: svc.ChecksFence,
 	}
 }
--- a/internal/trial/world.go
+++ b/internal/trial/world.go
@@ -113,8 +113,8 @@
 	}
 	p := process.Adapters(s, net)
 	p.Adjust = w.opts.disableMechanism
-	if w.opts.Seams.Platform != nil {
-		p = w.opts.Seams.Platform(p)
+	if w.opts.Hooks.Platform != nil {
+		p = w.opts.Hooks.Platform(p)
 	}
 	d, err := process.New(s, p, w.log)
 	if err != nil {
@@ -171,7 +171,7 @@
 	defer w.mu.Unlock()
 	if svc.Kind == version.Model {
 		e := standin.NewEngine(w.opts.Net, b.ID, engine(svc), w.ledger)
-		e.SetFault(w.opts.Seams.Engine)
+		e.SetFault(w.opts.Hooks.Engine)
 		w.faultTargets[b.ID] = e
 		w.cleanups = append(w.cleanups, e.Kill)
 		return e
