--- a/entry/state_test.go
+++ b/entry/state_test.go
@@ -43,7 +43,7 @@
 		time.Sleep(500 * time.Millisecond)
 		w.runner(plain, "a", "i-2", 0)
 		w.store.Drop(platform.RunnerTable, "", "i-1")
-		w.store.Forget()
+		w.store.TruncateFeed()
 		w.store.SetFault(standin.RowsFault{})
 		time.Sleep(3 * time.Second)
 		for i := range 5 {
--- a/internal/soak/events.go
+++ b/internal/soak/events.go
@@ -93,7 +93,7 @@
 			return func() {}
 		}},
 		{"history gone", true, func(w *world) func() {
-			w.store.Forget()
+			w.store.TruncateFeed()
 			return func() {}
 		}},
 		{"roll-out", false, func(w *world) func() {
--- a/internal/standin/rows.go
+++ b/internal/standin/rows.go
@@ -128,8 +128,8 @@
 	s.set(rowKey{table, part, key}, storedRow{version: s.version, removed: true})
 }
 
-// Forget truncates the change feed, so that feed requests from an earlier version get 410.
-func (s *Rows) Forget() {
+// TruncateFeed truncates the change feed, so that feed requests from an earlier version get 410.
+func (s *Rows) TruncateFeed() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.truncatedAt = s.version
