--- a/entry/state_test.go
+++ b/entry/state_test.go
@@ -197,11 +197,11 @@
 func TestACallWithALostAnswerIsRepeatedVerbatim(t *testing.T) {
 	inWorld(t, 2, func(w *world) {
 		w.runner(plain, "a", "i-1", 0)
-		w.api.SetLose(true)
+		w.api.SetLoseResponses(true)
 		w.ask(0, http.MethodPost, "/write/", "id-1")
 		time.Sleep(12 * time.Second)
 		w.ask(0, http.MethodPost, "/write/", "id-2")
-		w.api.SetLose(false)
+		w.api.SetLoseResponses(false)
 		time.Sleep(5 * time.Second)
 		byWindow := make(map[int64]string)
 		for _, c := range w.api.Calls("/usage") {
--- a/internal/standin/duty.go
+++ b/internal/standin/duty.go
@@ -66,8 +66,8 @@
 	a.noReclaimable = noReclaimable
 }
 
-// SetLose sets whether calls take effect but get an error response.
-func (a *DutyAPI) SetLose(lose bool) {
+// SetLoseResponses sets whether calls take effect but get an error response.
+func (a *DutyAPI) SetLoseResponses(lose bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.loseResponses = lose
