--- a/entry/leaving_test.go
+++ b/entry/leaving_test.go
@@ -38,8 +38,8 @@
 			for i, a := range w.demand(upTo(daemons), 60, 3500*time.Millisecond, w.askPlain) {
 				assert.Equal(t, http.StatusOK, a.status, "%d daemons, request %d", daemons, i)
 			}
-			assert.Zero(t, countFrom(leaves.Came(), announced.Add(drain)), "%d daemons", daemons)
-			assert.LessOrEqual(t, countFrom(leaves.Came(), announced.Add(500*time.Millisecond)), 2, "all daemons learn of it")
+			assert.Zero(t, countFrom(leaves.ArrivalTimes(), announced.Add(drain)), "%d daemons", daemons)
+			assert.LessOrEqual(t, countFrom(leaves.ArrivalTimes(), announced.Add(500*time.Millisecond)), 2, "all daemons learn of it")
 		})
 	}
 }
@@ -59,14 +59,14 @@
 		w.store.Put(platform.RunnerTable, "", "i-0", leaves.Entry(plain, "a", "ready"))
 		time.Sleep(2 * time.Second)
 		w.demand(upTo(3), 60, time.Second, w.askPlain)
-		assert.Zero(t, countFrom(leaves.Came(), announced.Add(drain)))
+		assert.Zero(t, countFrom(leaves.ArrivalTimes(), announced.Add(drain)))
 		again := w.restart(plain, "a", leaves)
 		w.store.Drop(platform.RunnerTable, "", "i-1")
 		time.Sleep(600 * time.Millisecond)
 		for _, a := range w.demand(upTo(3), 60, time.Second, w.askPlain) {
 			assert.Equal(t, http.StatusOK, a.status)
 		}
-		assert.GreaterOrEqual(t, len(again.Came()), 60, "the only endpoint left")
+		assert.GreaterOrEqual(t, len(again.ArrivalTimes()), 60, "the only endpoint left")
 	})
 }
 
--- a/entry/limited_test.go
+++ b/entry/limited_test.go
@@ -114,15 +114,15 @@
 					require.Equal(t, http.StatusOK, a.status, "request %d: other endpoints serve it", i)
 				}
 				known := began.Add(announcedDelay)
-				assert.LessOrEqual(t, maxWithin(limited.Came(), known, announcedWindow), maxAnnounced(c.rate))
-				used := float64(countFrom(limited.Came(), known)) / time.Since(known).Seconds()
+				assert.LessOrEqual(t, maxWithin(limited.ArrivalTimes(), known, announcedWindow), maxAnnounced(c.rate))
+				used := float64(countFrom(limited.ArrivalTimes(), known)) / time.Since(known).Seconds()
 				assert.GreaterOrEqual(t, used, announcedMinUse*c.rate, "its limit is used")
 
 				limited.SetFault(standin.RunnerFault{})
 				w.demand(upTo(c.daemons), 60, 2*time.Second, w.askStream)
 				freed := time.Now()
 				w.demand(upTo(c.daemons), 60, 2*time.Second, w.askStream)
-				assert.GreaterOrEqual(t, countFrom(limited.Came(), freed), 20, "of 120, one of four endpoints")
+				assert.GreaterOrEqual(t, countFrom(limited.ArrivalTimes(), freed), 20, "of 120, one of four endpoints")
 			})
 		})
 	}
@@ -172,7 +172,7 @@
 		})
 		t.Logf("%d of 20 refused, %d of them served on their retry", refused, served)
 		for _, r := range w.runners {
-			assert.LessOrEqual(t, maxWithin(r.Came(), w.created.Add(9*time.Second), announcedWindow), maxAnnounced(2))
+			assert.LessOrEqual(t, maxWithin(r.ArrivalTimes(), w.created.Add(9*time.Second), announcedWindow), maxAnnounced(2))
 		}
 		assert.Positive(t, refused)
 		assert.GreaterOrEqual(t, float64(served), 0.7*float64(refused), "Retry-After is accurate")
--- a/entry/limitedfaults_test.go
+++ b/entry/limitedfaults_test.go
@@ -40,8 +40,8 @@
 // grant at the same time it may get twice its limit.
 func checkLimitSince(t *testing.T, limited *standin.Runner, from time.Time, use float64) {
 	t.Helper()
-	assert.LessOrEqual(t, maxWithin(limited.Came(), from, announcedWindow), maxAnnounced(announcedLimit))
-	got := float64(countFrom(limited.Came(), from)) / time.Since(from).Seconds()
+	assert.LessOrEqual(t, maxWithin(limited.ArrivalTimes(), from, announcedWindow), maxAnnounced(announcedLimit))
+	got := float64(countFrom(limited.ArrivalTimes(), from)) / time.Since(from).Seconds()
 	assert.GreaterOrEqual(t, got, use*announcedLimit, "the limit is used")
 }
 
@@ -121,8 +121,8 @@
 		time.Sleep(500 * time.Millisecond)
 		back := time.Now()
 		w.demand(upTo(3), 60, 4*time.Second, w.askStream)
-		assert.LessOrEqual(t, maxWithin(limited.Came(), from, announcedWindow), maxAnnounced(announcedLimit))
-		assert.LessOrEqual(t, countFrom(limited.Came(), back), int(announcedLimit*4)+4, "its limit is still known")
+		assert.LessOrEqual(t, maxWithin(limited.ArrivalTimes(), from, announcedWindow), maxAnnounced(announcedLimit))
+		assert.LessOrEqual(t, countFrom(limited.ArrivalTimes(), back), int(announcedLimit*4)+4, "its limit is still known")
 	})
 }
 
@@ -131,7 +131,7 @@
 		again := w.restart(engines, "a", limited)
 		time.Sleep(600 * time.Millisecond)
 		w.demand(upTo(3), 60, 2*time.Second, w.askStream)
-		assert.GreaterOrEqual(t, len(again.Came()), 20, "of 120, one of four endpoints")
+		assert.GreaterOrEqual(t, len(again.ArrivalTimes()), 20, "of 120, one of four endpoints")
 	})
 }
 
--- a/entry/pause_test.go
+++ b/entry/pause_test.go
@@ -80,7 +80,7 @@
 			paused.SetFault(standin.RunnerFault{})
 			time.Sleep(rest)
 			w.demand(upTo(daemons), 60, 2*time.Second, w.askStreamTagged)
-			assert.GreaterOrEqual(t, countFrom(paused.Came(), ended.Add(rest)), 15, "%d daemons: used again, of 120 requests on four endpoints", daemons)
+			assert.GreaterOrEqual(t, countFrom(paused.ArrivalTimes(), ended.Add(rest)), 15, "%d daemons: used again, of 120 requests on four endpoints", daemons)
 		})
 	}
 }
--- a/internal/standin/runner.go
+++ b/internal/standin/runner.go
@@ -128,8 +128,8 @@
 	return append([]Arrival(nil), r.arrivals...)
 }
 
-// Came returns the arrival times of the received requests.
-func (r *Runner) Came() (out []time.Time) {
+// ArrivalTimes returns the arrival times of the received requests.
+func (r *Runner) ArrivalTimes() (out []time.Time) {
 	for _, a := range r.Arrivals() {
 		out = append(out, a.At)
 	}
