--- a/entry/outage_test.go
+++ b/entry/outage_test.go
@@ -57,7 +57,7 @@
 	inZones(t, 24, []string{"a", "b", "c", "d"}, func(w *world) {
 		time.Sleep(3 * time.Second)
 		reader, _ := entry.Reader("a", w.daemons[0].Hub.Mesh.Members())
-		w.store.SetFault(standin.RowsFault{Away: map[string]bool{reader.Name: true}})
+		w.store.SetFault(standin.RowsFault{RejectedDaemons: map[string]bool{reader.Name: true}})
 		time.Sleep(time.Second)
 		before := w.storeCalls()
 		time.Sleep(5 * time.Second)
@@ -99,7 +99,7 @@
 			reader, _ := entry.Reader(zone, members)
 			away[reader.Name] = true
 		}
-		w.store.SetFault(standin.RowsFault{Away: away})
+		w.store.SetFault(standin.RowsFault{RejectedDaemons: away})
 		time.Sleep(2 * time.Second)
 		for k := range 6 {
 			id := fmt.Sprint("i-", k)
--- a/entry/state_test.go
+++ b/entry/state_test.go
@@ -116,7 +116,7 @@
 func TestPeersUpdateABoxThatTheStoreRefuses(t *testing.T) {
 	inWorld(t, 3, func(w *world) {
 		w.runner(plain, "a", "i-1", 0)
-		w.store.SetFault(standin.RowsFault{Away: map[string]bool{"daemon-0": true}})
+		w.store.SetFault(standin.RowsFault{RejectedDaemons: map[string]bool{"daemon-0": true}})
 		time.Sleep(8 * time.Second)
 		assert.True(t, w.ready(0))
 		assert.Equal(t, http.StatusOK, w.ask(0, http.MethodPost, "/write/", "id-1").status)
@@ -362,7 +362,7 @@
 		time.Sleep(2 * time.Second)
 		reader, ok := entry.Reader("a", w.daemons[0].Hub.Mesh.Members())
 		require.True(t, ok)
-		w.store.SetFault(standin.RowsFault{Away: map[string]bool{reader.Name: true}})
+		w.store.SetFault(standin.RowsFault{RejectedDaemons: map[string]bool{reader.Name: true}})
 		time.Sleep(50 * time.Millisecond)
 		w.store.Drop(platform.RunnerTable, "", "i-1")
 		time.Sleep(50 * time.Millisecond)
--- a/internal/standin/rows.go
+++ b/internal/standin/rows.go
@@ -18,14 +18,14 @@
 
 // RowsFault selects the faults that Rows injects.
 type RowsFault struct {
-	Busy   bool                     // responds to every request with 503
-	Silent bool                     // never responds
-	Lost   bool                     // executes transactions but never responds to them
-	Delay  time.Duration            // added before each request is executed
-	Away   map[string]bool          // callers, by their X-Daemon header, that get 503
-	Late   map[string]time.Duration // delay of the response after the execution, by caller
-	Mute   string                   // table whose requests get no response from the callers in Muted
-	Muted  map[string]bool          // callers to which Mute applies
+	Busy            bool                     // responds to every request with 503
+	Silent          bool                     // never responds
+	Lost            bool                     // executes transactions but never responds to them
+	Delay           time.Duration            // added before each request is executed
+	RejectedDaemons map[string]bool          // callers, by their X-Daemon header, that get 503
+	Late            map[string]time.Duration // delay of the response after the execution, by caller
+	Mute            string                   // table whose requests get no response from the callers in Muted
+	Muted           map[string]bool          // callers to which Mute applies
 }
 
 // Rows is a stand-in for the transactional store of the users' platform. It implements the calls
@@ -102,7 +102,7 @@
 
 // rejects reports whether a request gets 503; the caller holds the lock.
 func (s *Rows) rejects(r *http.Request) bool {
-	return s.fault.Busy || s.fault.Away[r.Header.Get(daemonHeader)]
+	return s.fault.Busy || s.fault.RejectedDaemons[r.Header.Get(daemonHeader)]
 }
 
 // Calls returns the number of requests for a path.
