--- a/entry/reload_test.go
+++ b/entry/reload_test.go
@@ -21,7 +21,7 @@
 func TestAReloadKeepsLimits(t *testing.T) {
 	inWorldOf(t, 24, func(w *world) {
 		w.bootstrap = true
-		w.store.SetFault(standin.RowsFault{Late: slowStoreAnswers})
+		w.store.SetFault(standin.RowsFault{ResponseDelay: slowStoreAnswers})
 	}, func(w *world) {
 		w.store.SetFault(standin.RowsFault{})
 		w.runner(plain, "a", "i-1", 0)
@@ -47,7 +47,7 @@
 		w.rate = 8000
 		w.put()
 		w.bootstrap = false
-		w.store.SetFault(standin.RowsFault{Late: slowStoreAnswers})
+		w.store.SetFault(standin.RowsFault{ResponseDelay: slowStoreAnswers})
 		for i, d := range w.daemons[:12] {
 			d.Kill()
 			w.daemons[i] = w.startNamed(d.Self.Name, i)
--- a/internal/standin/rows.go
+++ b/internal/standin/rows.go
@@ -23,7 +23,7 @@
 	Lost            bool                     // executes transactions but never responds to them
 	Delay           time.Duration            // added before each request is executed
 	RejectedDaemons map[string]bool          // callers, by their X-Daemon header, that get 503
-	Late            map[string]time.Duration // delay of the response after the execution, by caller
+	ResponseDelay   map[string]time.Duration // delay of the response after the execution, by caller
 	Mute            string                   // table whose requests get no response from the callers in Muted
 	Muted           map[string]bool          // callers to which Mute applies
 }
@@ -178,7 +178,7 @@
 		}
 		time.Sleep(f.Delay)
 		status, body := h(w, r)
-		time.Sleep(f.Late[r.Header.Get(daemonHeader)])
+		time.Sleep(f.ResponseDelay[r.Header.Get(daemonHeader)])
 		if f.Lost && r.Method == http.MethodPost {
 			<-r.Context().Done()
 			return
