--- a/entry/leaving_test.go
+++ b/entry/leaving_test.go
@@ -32,7 +32,7 @@
 			w.runner(plain, "b", "i-1", 0)
 			time.Sleep(2 * time.Second)
 			w.demand(upTo(daemons), 60, time.Second, w.askPlain)
-			w.store.SetFault(standin.RowsFault{Silent: true})
+			w.store.SetFault(standin.RowsFault{NoResponse: true})
 			leaves.SetFault(standin.RunnerFault{Leaving: "1"})
 			announced := time.Now()
 			for i, a := range w.demand(upTo(daemons), 60, 3500*time.Millisecond, w.askPlain) {
--- a/entry/limitedfaults_test.go
+++ b/entry/limitedfaults_test.go
@@ -112,7 +112,7 @@
 func TestALimitIsKeptWhileTheStoreIsDownAndTheEntryExpires(t *testing.T) {
 	inLimited(t, 3, func(w *world, limited *standin.Runner) {
 		from := time.Now()
-		w.store.SetFault(standin.RowsFault{Silent: true})
+		w.store.SetFault(standin.RowsFault{NoResponse: true})
 		w.demand(upTo(3), 60, 2500*time.Millisecond, w.askStream)
 		w.store.Drop(platform.RunnerTable, "", "i-0")
 		w.store.SetFault(standin.RowsFault{})
--- a/entry/outage_test.go
+++ b/entry/outage_test.go
@@ -41,7 +41,7 @@
 	inZones(t, 24, []string{"a", "b", "c", "d"}, func(w *world) {
 		r := w.runner(plain, "a", "i-1", 0)
 		time.Sleep(3 * time.Second)
-		w.store.SetFault(standin.RowsFault{Silent: true})
+		w.store.SetFault(standin.RowsFault{NoResponse: true})
 		time.Sleep(4200 * time.Millisecond)
 		w.store.Drop(platform.RunnerTable, "", "i-1")
 		w.store.SetFault(standin.RowsFault{})
@@ -156,7 +156,7 @@
 // An outage must be confirmed at every daemon by the reports of others before its data is too old to be
 // used.
 func TestAllDaemonsServeThroughAnOutage(t *testing.T) {
-	for name, fault := range map[string]standin.RowsFault{"silent": {Silent: true}, "busy": {Busy: true}} {
+	for name, fault := range map[string]standin.RowsFault{"silent": {NoResponse: true}, "busy": {Busy: true}} {
 		for _, daemons := range []int{3, 8, 24} {
 			t.Run(fmt.Sprint(name, " ", daemons), func(t *testing.T) {
 				inZones(t, daemons, []string{"a", "b", "c", "d"}, func(w *world) {
--- a/entry/rolloutrandom_test.go
+++ b/entry/rolloutrandom_test.go
@@ -23,7 +23,7 @@
 	away := time.Duration(2000+r.IntN(7000)) * time.Millisecond
 	fault := standin.RowsFault{Busy: true}
 	if r.IntN(2) == 0 {
-		fault = standin.RowsFault{Silent: true}
+		fault = standin.RowsFault{NoResponse: true}
 	}
 	t.Logf("%d daemons, %d writes before the order, %s after it %+v for %s", daemons, writes, from, fault, away)
 	before := func(w *world) {
--- a/entry/staleness_test.go
+++ b/entry/staleness_test.go
@@ -111,7 +111,7 @@
 		w.runner(plain, "a", "i-1", 0)
 		w.daemons[1].Kill()
 		time.Sleep(10 * time.Second)
-		w.store.SetFault(standin.RowsFault{Silent: true})
+		w.store.SetFault(standin.RowsFault{NoResponse: true})
 		for began := time.Now(); time.Since(began) < 4*time.Second; time.Sleep(100 * time.Millisecond) {
 			id := fmt.Sprint("id-", time.Since(began))
 			assert.Equal(t, http.StatusOK, w.ask(0, http.MethodPost, "/write/", id).status, id)
--- a/entry/start_test.go
+++ b/entry/start_test.go
@@ -86,7 +86,7 @@
 	inWorldOf(t, 16, func(w *world) { w.seeds = []string{"10.0.0.1:82", "10.0.0.2:82"} }, func(w *world) {
 		w.runner(plain, "a", "i-1", 0)
 		time.Sleep(time.Second)
-		w.store.SetFault(standin.RowsFault{Silent: true})
+		w.store.SetFault(standin.RowsFault{NoResponse: true})
 		w.start()
 		time.Sleep(1200 * time.Millisecond)
 		assert.True(t, w.ready(16))
--- a/entry/state_test.go
+++ b/entry/state_test.go
@@ -56,7 +56,7 @@
 func TestEndpointsThatExpireInAnOutageAreKept(t *testing.T) {
 	inWorld(t, 1, func(w *world) {
 		r := w.runner(plain, "a", "i-1", 0)
-		w.store.SetFault(standin.RowsFault{Silent: true})
+		w.store.SetFault(standin.RowsFault{NoResponse: true})
 		time.Sleep(2500 * time.Millisecond)
 		w.store.Drop(platform.RunnerTable, "", "i-1")
 		w.store.SetFault(standin.RowsFault{})
@@ -92,7 +92,7 @@
 func TestARevokedKeyExpiresAtAnIsolatedBox(t *testing.T) {
 	inWorld(t, 1, func(w *world) {
 		w.runner(plain, "a", "i-1", 0)
-		w.store.SetFault(standin.RowsFault{Silent: true})
+		w.store.SetFault(standin.RowsFault{NoResponse: true})
 		revoked := time.Now()
 		for i := 0; time.Since(revoked) < 8*time.Second; i++ {
 			a := w.ask(0, http.MethodPost, "/write/", fmt.Sprint("id-", i))
--- a/entry/suspension_test.go
+++ b/entry/suspension_test.go
@@ -44,7 +44,7 @@
 		for _, path := range []string{"/write/", "/open/"} {
 			require.Equal(t, http.StatusOK, w.ask(0, http.MethodPost, path, "before "+path).status)
 		}
-		w.store.SetFault(standin.RowsFault{Silent: true})
+		w.store.SetFault(standin.RowsFault{NoResponse: true})
 		suspend(10 * time.Second)
 		// The key may have been revoked, the endpoint may have gone.
 		for _, path := range []string{"/write/", "/open/"} {
@@ -89,7 +89,7 @@
 			time.Sleep(12*time.Second + 37*time.Millisecond + time.Duration(at)*500*time.Millisecond)
 			before := len(w.api.Calls("/usage"))
 			require.NotZero(t, before)
-			w.store.SetFault(standin.RowsFault{Silent: true}) // nobody can renew it
+			w.store.SetFault(standin.RowsFault{NoResponse: true}) // nobody can renew it
 			suspend(10 * time.Second)
 			time.Sleep(3 * time.Second)
 			assert.Len(t, w.api.Calls("/usage"), before, "suspended after %d half seconds", at)
--- a/internal/soak/events.go
+++ b/internal/soak/events.go
@@ -105,7 +105,7 @@
 			w.putEndpoint(i, "draining")
 			return func() { w.putEndpoint(i, "ready") }
 		}},
-		storeFault("busy", standin.RowsFault{Busy: true}), storeFault("silent", standin.RowsFault{Silent: true}),
+		storeFault("busy", standin.RowsFault{Busy: true}), storeFault("silent", standin.RowsFault{NoResponse: true}),
 		storeFault("slow", standin.RowsFault{Delay: 250 * time.Millisecond}), storeFault("loses answers", standin.RowsFault{Lost: true}),
 		runnerFault("does not run", standin.RunnerFault{NotRun: true}), runnerFault("fails", standin.RunnerFault{Fail: true}),
 		runnerFault("mixes answers", standin.RunnerFault{OtherID: true}), runnerFault("cuts", standin.RunnerFault{CutAfter: 3, CutEvent: true, CutAnswer: true}),
--- a/internal/standin/rows.go
+++ b/internal/standin/rows.go
@@ -19,7 +19,7 @@
 // RowsFault selects the faults that Rows injects.
 type RowsFault struct {
 	Busy            bool                     // responds to every request with 503
-	Silent          bool                     // never responds
+	NoResponse      bool                     // never responds
 	Lost            bool                     // executes transactions but never responds to them
 	Delay           time.Duration            // added before each request is executed
 	RejectedDaemons map[string]bool          // callers, by their X-Daemon header, that get 503
@@ -171,7 +171,7 @@
 			return
 		}
 		muted := f.Mute != "" && r.URL.Query().Get("table") == f.Mute && f.Muted[r.Header.Get(daemonHeader)]
-		if f.Silent || muted {
+		if f.NoResponse || muted {
 			io.Copy(io.Discard, r.Body) // otherwise the server does not detect that the caller disconnects
 			<-r.Context().Done()
 			return
@@ -227,7 +227,7 @@
 	for {
 		s.mu.Lock()
 		wake := s.wake
-		gone, away, silent := after < s.truncatedAt, s.rejects(r), s.fault.Silent
+		gone, away, silent := after < s.truncatedAt, s.rejects(r), s.fault.NoResponse
 		rows := s.changes(q.Get("table"), after)
 		p := s.page(rows)
 		s.mu.Unlock()
