--- a/entry/restart_test.go
+++ b/entry/restart_test.go
@@ -53,7 +53,7 @@
 func TestStreamsOfAnEarlierStartEndAtOnce(t *testing.T) {
 	inWorld(t, 2, func(w *world) {
 		r := w.runner(engines, "a", "i-1", 8)
-		r.SetFault(standin.RunnerFault{Mute: true})
+		r.SetFault(standin.RunnerFault{NoResponse: true})
 		done := make(chan answer)
 		go func() { done <- w.ask(0, http.MethodPost, "/digest/", "one-try") }()
 		time.Sleep(200 * time.Millisecond)
--- a/entry/serve_test.go
+++ b/entry/serve_test.go
@@ -153,7 +153,7 @@
 
 func TestAResumableStreamResumesElsewhere(t *testing.T) {
 	for name, f := range map[string]standin.RunnerFault{
-		"between events": {CutAfter: 3}, "within an event": {CutAfter: 3, CutEvent: true}, "before the first": {Mute: true},
+		"between events": {CutAfter: 3}, "within an event": {CutAfter: 3, CutEvent: true}, "before the first": {NoResponse: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			inWorld(t, 1, func(w *world) {
@@ -201,7 +201,7 @@
 		w.put()
 		time.Sleep(time.Second)
 		r := w.runner(plain, "a", "i-1", 0)
-		r.SetFault(standin.RunnerFault{Mute: true})
+		r.SetFault(standin.RunnerFault{NoResponse: true})
 		began := time.Now()
 		a := w.ask(0, http.MethodPost, "/write/", "id-1")
 		assert.GreaterOrEqual(t, a.status, 500)
--- a/internal/soak/events.go
+++ b/internal/soak/events.go
@@ -109,7 +109,7 @@
 		storeFault("slow", standin.RowsFault{Delay: 250 * time.Millisecond}), storeFault("loses answers", standin.RowsFault{Lost: true}),
 		runnerFault("does not run", standin.RunnerFault{NotRun: true}), runnerFault("fails", standin.RunnerFault{Fail: true}),
 		runnerFault("mixes answers", standin.RunnerFault{OtherID: true}), runnerFault("cuts", standin.RunnerFault{CutAfter: 3, CutEvent: true, CutAnswer: true}),
-		runnerFault("is mute", standin.RunnerFault{Mute: true}),
+		runnerFault("is mute", standin.RunnerFault{NoResponse: true}),
 		proxyFault(Delay), proxyFault(Silence), proxyFault(OneWay), proxyFault(Reset),
 	}
 }
--- a/internal/standin/runner.go
+++ b/internal/standin/runner.go
@@ -18,21 +18,21 @@
 
 // RunnerFault selects the faults that a Runner injects.
 type RunnerFault struct {
-	NotRun    bool   // rejects all requests without running them
-	Fail      bool   // runs requests and responds with 500
-	OtherID   bool   // responds with the id of another request
-	CutAfter  int    // cuts a stream after this many events
-	CutEvent  bool   // with CutAfter, cuts the stream within the next event
-	Mute      bool   // accepts requests and never responds
-	NoLength  bool   // responds without a content length and closes the connection
-	CutAnswer bool   // cuts a response that is not a stream
-	Lie       bool   // runs one request in ten and reports it as not executed
-	FailEach  int    // responds with 500 to every n-th request that it runs; 0 for none
-	Slower    int    // factor by which requests take longer; 0 means 1
-	Limit     string // LimitHeader of all responses: the requests per second that it accepts; empty for none
-	Leaving   string // LeavingHeader of all responses; empty for none
-	Rest      string // with NotRun, the Retry-After header in seconds; empty for none
-	CrashOn   string // crashes on a request whose body contains this string; empty for never
+	NotRun     bool   // rejects all requests without running them
+	Fail       bool   // runs requests and responds with 500
+	OtherID    bool   // responds with the id of another request
+	CutAfter   int    // cuts a stream after this many events
+	CutEvent   bool   // with CutAfter, cuts the stream within the next event
+	NoResponse bool   // accepts requests and never responds
+	NoLength   bool   // responds without a content length and closes the connection
+	CutAnswer  bool   // cuts a response that is not a stream
+	Lie        bool   // runs one request in ten and reports it as not executed
+	FailEach   int    // responds with 500 to every n-th request that it runs; 0 for none
+	Slower     int    // factor by which requests take longer; 0 means 1
+	Limit      string // LimitHeader of all responses: the requests per second that it accepts; empty for none
+	Leaving    string // LeavingHeader of all responses; empty for none
+	Rest       string // with NotRun, the Retry-After header in seconds; empty for none
+	CrashOn    string // crashes on a request whose body contains this string; empty for never
 }
 
 // Ran is a request that a Runner has executed.
@@ -187,7 +187,7 @@
 	case f.CrashOn != "" && strings.Contains(string(body), f.CrashOn):
 		r.Close()
 		panic(http.ErrAbortHandler)
-	case f.Mute:
+	case f.NoResponse:
 		<-q.Context().Done()
 		r.recordDisconnect(at)
 		return
