--- a/internal/standin/ledger.go
+++ b/internal/standin/ledger.go
@@ -46,8 +46,8 @@
 // nextToken returns the token that follows a context; it is the same on every engine.
 func nextToken(state uint64) int { return int(state>>7) % vocabulary }
 
-// Want returns the n tokens of the complete response to a prompt.
-func Want(prompt string, n int) []int {
+// ExpectedTokens returns the n tokens of the complete response to a prompt.
+func ExpectedTokens(prompt string, n int) []int {
 	state := contextHash(Tokens(prompt))
 	out := make([]int, n)
 	for i := range out {
--- a/internal/trial/caller.go
+++ b/internal/trial/caller.go
@@ -67,7 +67,7 @@
 		r.prompt = standin.ChatPrompt("user", text)
 	}
 	r.body, _ = json.Marshal(b)
-	r.want = render(standin.Want(r.prompt, j.tokens))
+	r.want = render(standin.ExpectedTokens(r.prompt, j.tokens))
 	return r
 }
 
--- a/request/server_test.go
+++ b/request/server_test.go
@@ -138,7 +138,7 @@
 
 func wantText(id string) string {
 	var sb strings.Builder
-	for _, t := range standin.Want("the prompt of "+id, tokens) {
+	for _, t := range standin.ExpectedTokens("the prompt of "+id, tokens) {
 		fmt.Fprintf(&sb, "w%d ", t)
 	}
 	return sb.String()
