--- a/request/pool.go
+++ b/request/pool.go
@@ -209,7 +209,7 @@
 // Capacity returns the total concurrency of the endpoints that are not excluded, and their estimated load.
 func (p *Pool) Capacity() (batch, load int) {
 	for _, t := range p.Targets() {
-		if t.out.Load() {
+		if t.excluded.Load() {
 			continue
 		}
 		t.mu.Lock()
--- a/request/route.go
+++ b/request/route.go
@@ -122,7 +122,7 @@
 
 // open reports whether the target is eligible for the request.
 func (t *Target) open(n Need) bool {
-	if t.out.Load() && !(n.Ejected && t.softEjected.Load()) || t == n.Avoid || !t.takes(n.Trial) {
+	if t.excluded.Load() && !(n.Ejected && t.softEjected.Load()) || t == n.Avoid || !t.takes(n.Trial) {
 		return false
 	}
 	if !n.Rested && t.advertised.othersBackoff.left(n.At) > 0 {
--- a/request/target.go
+++ b/request/target.go
@@ -63,7 +63,7 @@
 	hash         uint64
 	mine         atomic.Int32  // in-flight requests of this daemon
 	load         atomic.Int32  // estimated in-flight requests of all daemons
-	out          atomic.Bool   // excluded from routing: leaving or ejected
+	excluded     atomic.Bool   // excluded from routing: leaving or ejected
 	softEjected  atomic.Bool   // ejected only because requests failed that it had accepted
 	ramp         atomic.Uint32 // share of the load bound allowed after an ejection, as float bits
 	advertised   *advertisedState
@@ -231,7 +231,7 @@
 	}
 	t.class, t.deadline = Leaving, deadline
 	t.softEjected.Store(false)
-	t.out.Store(true)
+	t.excluded.Store(true)
 	close(t.leavingCh)
 	for f := range t.flights {
 		flights = append(flights, f)
@@ -246,7 +246,7 @@
 func (t *Target) end() {
 	t.over.Store(true)
 	t.softEjected.Store(false)
-	t.out.Store(true)
+	t.excluded.Store(true)
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for f := range t.flights {
@@ -283,7 +283,7 @@
 	t.excludeUntil(now.Add(t.ejectedFor))
 	t.failures = 0
 	t.softEjected.Store(!hard)
-	t.out.Store(true)
+	t.excluded.Store(true)
 	return true
 }
 
@@ -295,11 +295,11 @@
 func (t *Target) Gone(now time.Time) (fresh bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	fresh = !t.out.Load()
+	fresh = !t.excluded.Load()
 	t.softEjected.Store(false)
 	t.excludeUntil(now.Add(endedExclusion))
 	t.failures = 0
-	t.out.Store(true)
+	t.excluded.Store(true)
 	return fresh
 }
 
@@ -350,7 +350,7 @@
 
 // Return readmits an endpoint whose ejection is over, at the start of its ramp, and reports whether it did.
 func (t *Target) Return(now time.Time) bool {
-	if !t.out.Load() {
+	if !t.excluded.Load() {
 		return false
 	}
 	t.mu.Lock()
@@ -359,12 +359,12 @@
 		return false
 	}
 	t.ramp.Store(math.Float32bits(rampStart))
-	t.out.Store(false)
+	t.excluded.Store(false)
 	return true
 }
 
 // Ejected reports whether the endpoint is excluded for a reason other than leaving.
 func (t *Target) Ejected() bool {
 	_, leaving := t.Leaving()
-	return t.out.Load() && !leaving
+	return t.excluded.Load() && !leaving
 }
--- a/request/trial.go
+++ b/request/trial.go
@@ -61,7 +61,7 @@
 	for n := 0; most > 0 && n < most; n++ {
 		var next *Target
 		for _, t := range all {
-			if s.RoleOf(t.Version) != rollout.Trial || used[t] || t.out.Load() {
+			if s.RoleOf(t.Version) != rollout.Trial || used[t] || t.excluded.Load() {
 				continue
 			}
 			if next == nil || mix(uint64(s.Number), t.hash) > mix(uint64(s.Number), next.hash) {
@@ -93,7 +93,7 @@
 // Ready returns the number of endpoints of a role that are neither leaving nor ejected.
 func (p *Pool) Ready(r rollout.Role) (n int) {
 	for _, t := range p.Targets() {
-		if t.Role() == r && !t.out.Load() {
+		if t.Role() == r && !t.excluded.Load() {
 			n++
 		}
 	}
