--- a/request/backlog.go
+++ b/request/backlog.go
@@ -355,7 +355,7 @@
 
 // running estimates the number of requests at the endpoint.
 func (t *Target) running(now time.Time) int {
-	return max(int(t.load.Load()), int(t.mine.Load())+t.places.Occupied(now))
+	return max(int(t.load.Load()), int(t.ownLoad.Load())+t.places.Occupied(now))
 }
 
 // slotsForOthers returns how many of the engine's slots are left for requests of other daemons.
@@ -363,7 +363,7 @@
 	if !without.On(mechanism.PlaceQueue) {
 		return math.MaxInt // waiting requests are not modelled apart from running ones
 	}
-	return t.slots() - int(t.mine.Load())
+	return t.slots() - int(t.ownLoad.Load())
 }
 
 // slots returns the concurrency of the endpoint.
@@ -376,7 +376,7 @@
 // slotWait estimates how long a request waits for a slot at the endpoint.
 func (t *Target) slotWait(now time.Time, n Need) time.Duration {
 	batch := t.slots()
-	wait := t.places.Wait(now, batch-int(t.mine.Load()))
+	wait := t.places.Wait(now, batch-int(t.ownLoad.Load()))
 	if over := int(t.load.Load()) - batch + 1; over > 0 {
 		wait = max(wait, time.Duration(float64(over)/float64(batch)*float64(n.Service)))
 	}
--- a/request/pool.go
+++ b/request/pool.go
@@ -234,7 +234,7 @@
 func (p *Pool) InFlight() int {
 	n := 0
 	for _, t := range p.Targets() {
-		n += int(t.mine.Load())
+		n += int(t.ownLoad.Load())
 	}
 	return n
 }
--- a/request/target.go
+++ b/request/target.go
@@ -61,7 +61,7 @@
 type Target struct {
 	Endpoint
 	hash         uint64
-	mine         atomic.Int32  // in-flight requests of this daemon
+	ownLoad      atomic.Int32  // in-flight requests of this daemon
 	load         atomic.Int32  // estimated in-flight requests of all daemons
 	excluded     atomic.Bool   // excluded from routing: leaving or ejected
 	softEjected  atomic.Bool   // ejected only because requests failed that it had accepted
@@ -177,12 +177,12 @@
 		unknown := assumedLoadShare[Unknown] * float64(t.batch)
 		est = (1-w)*est + w*math.Max(est, unknown)
 	}
-	t.load.Store(max(int32(est), t.mine.Load()))
+	t.load.Store(max(int32(est), t.ownLoad.Load()))
 }
 
 // Begin counts a request sent by this daemon and registers its Flight, if any.
 func (t *Target) Begin(f *Flight) {
-	t.mine.Add(1)
+	t.ownLoad.Add(1)
 	t.load.Add(1)
 	t.addSent(1)
 	t.mu.Lock()
@@ -207,7 +207,7 @@
 
 // End reverses Begin once the request has ended.
 func (t *Target) End(f *Flight) {
-	t.mine.Add(-1)
+	t.ownLoad.Add(-1)
 	t.load.Add(-1)
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/request/trial.go
+++ b/request/trial.go
@@ -104,7 +104,7 @@
 func (p *Pool) InFlightAt(r rollout.Role) (n int) {
 	for _, t := range p.Targets() {
 		if t.Role() == r {
-			n += int(t.mine.Load())
+			n += int(t.ownLoad.Load())
 		}
 	}
 	return n
