--- a/entry/endpointreports.go
+++ b/entry/endpointreports.go
@@ -17,12 +17,12 @@
 // again and again would exceed all other traffic of a daemon.
 
 // reportSet holds the newest report of each endpoint.
-type reportSet map[uint64]request.Word
+type reportSet map[uint64]request.EndpointState
 
-func (s reportSet) add(w request.Word) { s[w.Endpoint] = s[w.Endpoint].With(w) }
+func (s reportSet) add(w request.EndpointState) { s[w.Endpoint] = s[w.Endpoint].With(w) }
 
 // list returns the reports of some sets, one set after the other.
-func list(sets ...reportSet) (out []request.Word) {
+func list(sets ...reportSet) (out []request.EndpointState) {
 	for _, s := range sets {
 		for _, w := range s {
 			out = append(out, w)
@@ -52,7 +52,7 @@
 
 // queue queues a new report of an endpoint. It is sent with the next tick, as the answers that an endpoint
 // gives at one time all report the same.
-func (k *reportExchange) queue(w request.Word) {
+func (k *reportExchange) queue(w request.EndpointState) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.zone.add(w)
@@ -87,7 +87,7 @@
 	}
 }
 
-func (k *reportExchange) sendReports(to []string, words []request.Word) {
+func (k *reportExchange) sendReports(to []string, words []request.EndpointState) {
 	if len(words) > 0 {
 		k.d.sendToAll(to, conn.Payload{Words: conn.Marshal(words)})
 	}
@@ -98,7 +98,7 @@
 	if len(b) == 0 {
 		return
 	}
-	var words []request.Word
+	var words []request.EndpointState
 	if err := conn.Unmarshal(b, &words); err != nil {
 		k.d.log.WithField("part", "endpoints").Warnf("invalid endpoint reports from %s: %v", from, err)
 		return
@@ -119,7 +119,7 @@
 }
 
 // merge merges a report and returns what is then known of the endpoint.
-func (k *reportExchange) merge(now time.Time, w request.Word) request.Word {
+func (k *reportExchange) merge(now time.Time, w request.EndpointState) request.EndpointState {
 	if t := k.d.Server.Works.ByHash(w.Endpoint); t != nil {
 		t.HearWord(now, w, k.d.Site().Bounds.Drain)
 		return t.Word(now)
--- a/entry/permits.go
+++ b/entry/permits.go
@@ -112,7 +112,7 @@
 func (k *permitGranter) ask(ctx context.Context, owner string, t *request.Target, l pace.Limit) (g pace.Grant, ok bool) {
 	ctx, cancel := context.WithTimeout(ctx, permitTimeout)
 	defer cancel()
-	b, err := k.d.Hub.Ask(ctx, owner, askPermit, conn.Marshal(request.Word{Endpoint: t.Hash(), Limit: l}))
+	b, err := k.d.Hub.Ask(ctx, owner, askPermit, conn.Marshal(request.EndpointState{Endpoint: t.Hash(), Limit: l}))
 	var a permitAnswer
 	if err == nil {
 		err = conn.Unmarshal(b, &a)
@@ -144,7 +144,7 @@
 
 // answer answers another daemon's query for a grant.
 func (k *permitGranter) answer(from string, body []byte) ([]byte, error) {
-	var w request.Word
+	var w request.EndpointState
 	if err := conn.Unmarshal(body, &w); err != nil {
 		return nil, err
 	}
--- a/request/endpointstate.go
+++ b/request/endpointstate.go
@@ -8,8 +8,8 @@
 	"streambend.example/pace"
 )
 
-// Word is the advertised state of an endpoint instance, as exchanged between daemons.
-type Word struct {
+// EndpointState is the advertised state of an endpoint instance, as exchanged between daemons.
+type EndpointState struct {
 	Endpoint uint64     `codec:"e"` // Endpoint.Hash
 	Limit    pace.Limit `codec:"l,omitempty"`
 	Leaves   bool       `codec:"v,omitempty"`
@@ -18,7 +18,7 @@
 }
 
 // With merges two states; the result has the Endpoint of x.
-func (w Word) With(x Word) Word {
+func (w EndpointState) With(x EndpointState) EndpointState {
 	w.Endpoint = x.Endpoint
 	if x.Limit.Supersedes(w.Limit) {
 		w.Limit = x.Limit
@@ -29,15 +29,15 @@
 }
 
 // Word returns the known advertised state of the endpoint.
-func (t *Target) Word(now time.Time) Word {
+func (t *Target) Word(now time.Time) EndpointState {
 	t.advertised.mu.Lock()
 	defer t.advertised.mu.Unlock()
 	rest := max(t.advertised.backoff.left(now), t.advertised.othersBackoff.left(now))
-	return Word{Endpoint: t.hash, Limit: t.advertised.limit, Leaves: t.advertised.leaves, Rest: rest}
+	return EndpointState{Endpoint: t.hash, Limit: t.advertised.limit, Leaves: t.advertised.leaves, Rest: rest}
 }
 
 // HearWord merges the state announced by another daemon. An endpoint that leaves ends after left.
-func (t *Target) HearWord(now time.Time, w Word, left time.Duration) {
+func (t *Target) HearWord(now time.Time, w EndpointState, left time.Duration) {
 	t.HearLimit(w.Limit)
 	t.advertised.othersBackoff.extend(now.Add(w.Rest))
 	if w.Leaves {
