--- a/entry/endpointreports.go
+++ b/entry/endpointreports.go
@@ -121,7 +121,7 @@
 // merge merges a report and returns what is then known of the endpoint.
 func (k *reportExchange) merge(now time.Time, w request.EndpointState) request.EndpointState {
 	if t := k.d.Server.Works.ByHash(w.Endpoint); t != nil {
-		t.HearWord(now, w, k.d.Site().Bounds.Drain)
+		t.MergeState(now, w, k.d.Site().Bounds.Drain)
 		return t.Word(now)
 	}
 	k.mu.Lock()
@@ -146,7 +146,7 @@
 	k.mu.Unlock()
 	now := clock.Now()
 	if w = w.With(t.Word(now)); ok || w.Leaves {
-		t.HearWord(now, w, k.d.Site().Bounds.Drain)
+		t.MergeState(now, w, k.d.Site().Bounds.Drain)
 	}
 	return t
 }
--- a/request/endpointstate.go
+++ b/request/endpointstate.go
@@ -36,8 +36,8 @@
 	return EndpointState{Endpoint: t.hash, Limit: t.advertised.limit, Leaves: t.advertised.leaves, Rest: rest}
 }
 
-// HearWord merges the state announced by another daemon. An endpoint that leaves ends after left.
-func (t *Target) HearWord(now time.Time, w EndpointState, left time.Duration) {
+// MergeState merges the state announced by another daemon. An endpoint that leaves ends after left.
+func (t *Target) MergeState(now time.Time, w EndpointState, left time.Duration) {
 	t.HearLimit(w.Limit)
 	t.advertised.othersBackoff.extend(now.Add(w.Rest))
 	if w.Leaves {
