--- a/entry/endpointreports.go
+++ b/entry/endpointreports.go
@@ -122,7 +122,7 @@
 func (k *reportExchange) merge(now time.Time, w request.EndpointState) request.EndpointState {
 	if t := k.d.Server.Works.ByHash(w.Endpoint); t != nil {
 		t.MergeState(now, w, k.d.Site().Bounds.Drain)
-		return t.Word(now)
+		return t.State(now)
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -145,7 +145,7 @@
 	delete(k.known, t.Hash())
 	k.mu.Unlock()
 	now := clock.Now()
-	if w = w.With(t.Word(now)); ok || w.Leaves {
+	if w = w.With(t.State(now)); ok || w.Leaves {
 		t.MergeState(now, w, k.d.Site().Bounds.Drain)
 	}
 	return t
--- a/request/endpointstate.go
+++ b/request/endpointstate.go
@@ -28,8 +28,8 @@
 	return w
 }
 
-// Word returns the known advertised state of the endpoint.
-func (t *Target) Word(now time.Time) EndpointState {
+// State returns the known advertised state of the endpoint.
+func (t *Target) State(now time.Time) EndpointState {
 	t.advertised.mu.Lock()
 	defer t.advertised.mu.Unlock()
 	rest := max(t.advertised.backoff.left(now), t.advertised.othersBackoff.left(now))
--- a/request/permit.go
+++ b/request/permit.go
@@ -88,7 +88,7 @@
 	r.log.WithFields(told).WithFields(logrus.Fields{"endpoint": t.ID, "request": r.r.ID}).
 		Info("endpoint advertised new state")
 	if r.opts.Said != nil {
-		r.opts.Said(t.Word(now))
+		r.opts.Said(t.State(now))
 	}
 }
 
