--- a/request/advertised.go
+++ b/request/advertised.go
@@ -144,7 +144,7 @@
 }
 
 // Limited returns the number of endpoints that advertise a rate limit.
-func (w *Works) Limited() (n int) {
+func (w *ServiceStates) Limited() (n int) {
 	for _, k := range w.All() {
 		for _, t := range k.Pool.Targets() {
 			if t.advertised.rateLimited.Load() {
--- a/request/backlog.go
+++ b/request/backlog.go
@@ -214,7 +214,7 @@
 func (t *Target) Dropped(now time.Time, m Mark) { t.backlog.Dropped(now, m) }
 
 // HearSent records a prompt that another daemon has sent.
-func (w *Works) HearSent(now time.Time, s Sent) {
+func (w *ServiceStates) HearSent(now time.Time, s Sent) {
 	for _, k := range w.All() {
 		if t := k.Pool.view().byHash[s.Endpoint]; t != nil {
 			m := t.backlog.Add(now, s.Fresh, s.Total, s.Parts)
--- a/request/server.go
+++ b/request/server.go
@@ -45,7 +45,7 @@
 
 // Server runs requests.
 type Server struct {
-	Works  *Works
+	Works  *ServiceStates
 	Client *conn.Client
 	Claims *Claims
 	Peers  Peers
--- a/request/servicestate.go
+++ b/request/servicestate.go
@@ -107,17 +107,17 @@
 	}
 }
 
-// Works holds the Work of each service.
-type Works struct {
+// ServiceStates holds the Work of each service.
+type ServiceStates struct {
 	opts Options
 	mu   sync.RWMutex
 	byID map[string]*Work
 }
 
-func newWorks(o Options) *Works { return &Works{opts: o, byID: make(map[string]*Work)} }
+func newWorks(o Options) *ServiceStates { return &ServiceStates{opts: o, byID: make(map[string]*Work)} }
 
 // Get returns the Work of a service and creates it at the first use.
-func (w *Works) Get(s *version.Service) *Work {
+func (w *ServiceStates) Get(s *version.Service) *Work {
 	key := s.Key()
 	w.mu.RLock()
 	k := w.byID[key]
@@ -142,7 +142,7 @@
 }
 
 // All returns every Work.
-func (w *Works) All() []*Work {
+func (w *ServiceStates) All() []*Work {
 	w.mu.RLock()
 	defer w.mu.RUnlock()
 	out := make([]*Work, 0, len(w.byID))
@@ -153,14 +153,14 @@
 }
 
 // Drop removes a service that is no longer configured.
-func (w *Works) Drop(key string) {
+func (w *ServiceStates) Drop(key string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	delete(w.byID, key)
 }
 
 // ByHash returns the endpoint instance with an Endpoint.Hash, or nil.
-func (w *Works) ByHash(hash uint64) *Target {
+func (w *ServiceStates) ByHash(hash uint64) *Target {
 	for _, k := range w.All() {
 		if t := k.Pool.view().byHash[hash]; t != nil {
 			return t
@@ -174,7 +174,7 @@
 
 // Tick updates the state that changes with time. Each service's capacity is shared by the given number of
 // daemons.
-func (w *Works) Tick(now time.Time, daemons int) {
+func (w *ServiceStates) Tick(now time.Time, daemons int) {
 	for _, k := range w.All() {
 		k.Pool.Tick(now)
 		batch, _ := k.Pool.Capacity()
@@ -189,7 +189,7 @@
 }
 
 // Find returns the Work and the endpoint of a box, or nil.
-func (w *Works) Find(box string) (*Work, *Target) {
+func (w *ServiceStates) Find(box string) (*Work, *Target) {
 	for _, k := range w.All() {
 		if t := k.Pool.Get(box); t != nil {
 			return k, t
