--- a/entry/runners.go
+++ b/entry/runners.go
@@ -387,7 +387,7 @@
 }
 
 // work returns the request state of a service, and creates it if needed.
-func (d *Daemon) work(service string) *request.Work {
+func (d *Daemon) work(service string) *request.ServiceState {
 	s := version.Service{Name: service, PerBox: 1}
 	if c := d.catalog.get(); c != nil {
 		if b, ok := c.Backend[service]; ok {
--- a/process/fleet.go
+++ b/process/fleet.go
@@ -260,7 +260,7 @@
 
 // probe queries one endpoint's load. It returns its load class and whether that
 // is due to be broadcast.
-func (f *fleet) probe(w *request.Work, t *request.Target) (conn.LoadClass, bool) {
+func (f *fleet) probe(w *request.ServiceState, t *request.Target) (conn.LoadClass, bool) {
 	ctx, cancel := context.WithTimeout(f.d.ctx, f.d.Settings.Timing.Watch.Duration)
 	defer cancel()
 	f.mu.Lock()
@@ -291,7 +291,7 @@
 	return conn.LoadClass{Box: t.ID, Class: int(class)}, true
 }
 
-func (f *fleet) cacheEvents(w *request.Work, t *request.Target, since int64, events []conn.CacheEvent) {
+func (f *fleet) cacheEvents(w *request.ServiceState, t *request.Target, since int64, events []conn.CacheEvent) {
 	for _, e := range events {
 		if e.Seq > since+1 && since > 0 {
 			w.Pool.Gap(t)
--- a/request/notice.go
+++ b/request/notice.go
@@ -17,7 +17,7 @@
 
 // departure is an endpoint newly marked as leaving, with its running attempts.
 type departure struct {
-	work     *Work
+	work     *ServiceState
 	target   *Target
 	deadline time.Time
 	flights  []*Flight
@@ -56,7 +56,7 @@
 }
 
 // schedule starts the timer for the move of one stream.
-func (s *Server) schedule(now time.Time, w *Work, t *Target, f *Flight, m Move) {
+func (s *Server) schedule(now time.Time, w *ServiceState, t *Target, f *Flight, m Move) {
 	switch m.Kind {
 	case StayAndFinish:
 	case ExportKV:
@@ -87,7 +87,7 @@
 
 // export makes another engine pull the stream's KV cache and moves the stream to it.
 // If that is not possible, the stream is resumed elsewhere from its tokens.
-func (s *Server) export(w *Work, t *Target, f *Flight) {
+func (s *Server) export(w *ServiceState, t *Target, f *Flight) {
 	deadline, _ := t.Leaving()
 	snap := s.awaitPrompt(f, s.Now(), deadline)
 	// The engine that prefix routing chooses next may already cache a part of the prompt.
--- a/request/server.go
+++ b/request/server.go
@@ -202,7 +202,7 @@
 	r    *Request
 	a    *Answer
 	life *Life
-	work *Work
+	work *ServiceState
 
 	print     crash.Fingerprint
 	holdTrial bool // the request is held back, and this is its trial
--- a/request/servicestate.go
+++ b/request/servicestate.go
@@ -10,8 +10,8 @@
 	"streambend.example/version"
 )
 
-// Work holds this daemon's runtime state of one service.
-type Work struct {
+// ServiceState holds this daemon's runtime state of one service.
+type ServiceState struct {
 	Pool   *Pool
 	Queue  *Queue
 	Budget Retries
@@ -111,13 +111,15 @@
 type ServiceStates struct {
 	opts Options
 	mu   sync.RWMutex
-	byID map[string]*Work
+	byID map[string]*ServiceState
 }
 
-func newWorks(o Options) *ServiceStates { return &ServiceStates{opts: o, byID: make(map[string]*Work)} }
+func newWorks(o Options) *ServiceStates {
+	return &ServiceStates{opts: o, byID: make(map[string]*ServiceState)}
+}
 
 // Get returns the Work of a service and creates it at the first use.
-func (w *ServiceStates) Get(s *version.Service) *Work {
+func (w *ServiceStates) Get(s *version.Service) *ServiceState {
 	key := s.Key()
 	w.mu.RLock()
 	k := w.byID[key]
@@ -130,7 +132,7 @@
 	if k = w.byID[key]; k != nil {
 		return k
 	}
-	k = &Work{
+	k = &ServiceState{
 		Pool:   NewPool(key, w.opts.Zone, s.PerBox),
 		Queue:  NewQueue(NewLimiter(w.opts.StartLimit, s.FirstToken.Duration), w.opts.MaxQueued),
 		Budget: w.opts.retries(),
@@ -142,10 +144,10 @@
 }
 
 // All returns every Work.
-func (w *ServiceStates) All() []*Work {
+func (w *ServiceStates) All() []*ServiceState {
 	w.mu.RLock()
 	defer w.mu.RUnlock()
-	out := make([]*Work, 0, len(w.byID))
+	out := make([]*ServiceState, 0, len(w.byID))
 	for _, k := range w.byID {
 		out = append(out, k)
 	}
@@ -189,7 +191,7 @@
 }
 
 // Find returns the Work and the endpoint of a box, or nil.
-func (w *ServiceStates) Find(box string) (*Work, *Target) {
+func (w *ServiceStates) Find(box string) (*ServiceState, *Target) {
 	for _, k := range w.All() {
 		if t := k.Pool.Get(box); t != nil {
 			return k, t
