--- a/entry/runners.go
+++ b/entry/runners.go
@@ -196,7 +196,7 @@
 	if k.unnamed[old.ID] {
 		return
 	}
-	k.d.work(old.Service).Pool.EndStart(old.ID)
+	k.d.work(old.Service).Pool.EndInstance(old.ID)
 }
 
 // catalogChanged adds the endpoints of services that a new catalog names to their pools.
--- a/request/pool.go
+++ b/request/pool.go
@@ -106,8 +106,8 @@
 	}
 }
 
-// EndStart drops the instance of an endpoint that has restarted, and cancels its in-flight requests.
-func (p *Pool) EndStart(id string) {
+// EndInstance drops the instance of an endpoint that has restarted, and cancels its in-flight requests.
+func (p *Pool) EndInstance(id string) {
 	t := p.Get(id)
 	if t == nil {
 		return
