--- a/process/fleet.go
+++ b/process/fleet.go
@@ -312,7 +312,7 @@
 		return
 	}
 	if _, t := f.d.Server.Works.Find(l.Box); t != nil {
-		t.Hear(now, request.Class(l.Class))
+		t.RecordClass(now, request.Class(l.Class))
 	}
 }
 
--- a/request/route_test.go
+++ b/request/route_test.go
@@ -71,7 +71,7 @@
 				}
 			},
 			"report": func(t *rapid.T) { pick(t).Report(now, rapid.IntRange(0, 40).Draw(t, "load"), 16) },
-			"hear":   func(t *rapid.T) { pick(t).Hear(now, request.Class(rapid.IntRange(0, 5).Draw(t, "class"))) },
+			"hear":   func(t *rapid.T) { pick(t).RecordClass(now, request.Class(rapid.IntRange(0, 5).Draw(t, "class"))) },
 			"wait": func(t *rapid.T) {
 				now = now.Add(time.Duration(rapid.IntRange(1, 900).Draw(t, "ms")) * time.Millisecond)
 				p.Tick(now)
--- a/request/target.go
+++ b/request/target.go
@@ -128,8 +128,8 @@
 	t.estimate(now)
 }
 
-// Hear records the class announced by another daemon. It does not replace a fresh load report.
-func (t *Target) Hear(now time.Time, c Class) {
+// RecordClass records the class announced by another daemon. It does not replace a fresh load report.
+func (t *Target) RecordClass(now time.Time, c Class) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	fresh := t.reportTTL == loadReportTTL && now.Sub(t.reportedAt) < loadReportTTL/2
