--- a/entry/permits.go
+++ b/entry/permits.go
@@ -122,7 +122,7 @@
 		return g, false
 	}
 	if a.Limit.Supersedes(l) {
-		t.HearLimit(a.Limit)
+		t.MergeLimit(a.Limit)
 		a.Grant.OK = a.Grant.OK || !a.Limit.Named()
 	}
 	return a.Grant, true
--- a/request/advertised.go
+++ b/request/advertised.go
@@ -73,8 +73,8 @@
 	return l, tell
 }
 
-// HearLimit records a limit announced by another daemon, and reports whether it supersedes the known one.
-func (t *Target) HearLimit(l pace.Limit) bool {
+// MergeLimit records a limit announced by another daemon, and reports whether it supersedes the known one.
+func (t *Target) MergeLimit(l pace.Limit) bool {
 	t.advertised.mu.Lock()
 	defer t.advertised.mu.Unlock()
 	if !l.Supersedes(t.advertised.limit) {
--- a/request/endpointstate.go
+++ b/request/endpointstate.go
@@ -38,7 +38,7 @@
 
 // MergeState merges the state announced by another daemon. An endpoint that leaves ends after left.
 func (t *Target) MergeState(now time.Time, w EndpointState, left time.Duration) {
-	t.HearLimit(w.Limit)
+	t.MergeLimit(w.Limit)
 	t.advertised.othersBackoff.extend(now.Add(w.Rest))
 	if w.Leaves {
 		t.RecordLeaving(now, left)
