--- a/request/backlog.go
+++ b/request/backlog.go
@@ -263,7 +263,7 @@
 func preferredFor(l *poolList, n Need) preferredTargets {
 	var h preferredTargets
 	var weights [len(preferredHit)]uint64
-	if !n.Homes || n.Prefix == 0 {
+	if !n.PreferRendezvous || n.Prefix == 0 {
 		return h
 	}
 	for _, t := range l.all {
--- a/request/placement_test.go
+++ b/request/placement_test.go
@@ -208,7 +208,7 @@
 	kind, head := p.kinds[j.kind], j.parts[0].ID
 	pool := p.daemons[j.daemon].Works.All()[0].Pool
 	c, ok := pool.Route(now, request.Need{
-		Prefix: head, Prompt: kind.shared + j.parts[1].Tokens, Parts: j.parts, Pause: maxPause, Service: 1500 * time.Millisecond, Homes: true, Draw: p.rng.Uint64(),
+		Prefix: head, Prompt: kind.shared + j.parts[1].Tokens, Parts: j.parts, Pause: maxPause, Service: 1500 * time.Millisecond, PreferRendezvous: true, Draw: p.rng.Uint64(),
 	})
 	if !ok {
 		return
--- a/request/route.go
+++ b/request/route.go
@@ -22,24 +22,24 @@
 
 // Need describes a request to routing.
 type Need struct {
-	Prefix      uint64  // hash of the prompt's first part; 0 for none
-	Prompt      int     // approximate number of prompt tokens
-	Plain       bool    // a call without a prompt: no cache affinity
-	Avoid       *Target // the endpoint that has just failed
-	Settled     bool    // prefer boxes that are not reclaimable
-	Weigh       version.Weight
-	Policy      RoutePolicy
-	PrefillRate float64       // prompt tokens per second
-	Service     time.Duration // mean time a request spends at an endpoint
-	Homes       bool          // this daemon sees little of what other daemons send
-	Draw        uint64        // random number for the choice; a seed reproduces it
-	Parts       []Part        // of the prompt; empty if not known
-	Pause       time.Duration // longest pause within a stream that still counts as in time; 0 if not known
-	Trial       bool          // route to a version under canary evaluation
-	Ejected     bool          // also allow endpoints ejected for soft failures
-	Without     mechanism.Set // mechanisms that are switched off
-	At          time.Time     // time of the routing decision
-	Rested      bool          // also allow endpoints that asked other daemons to back off
+	Prefix           uint64  // hash of the prompt's first part; 0 for none
+	Prompt           int     // approximate number of prompt tokens
+	Plain            bool    // a call without a prompt: no cache affinity
+	Avoid            *Target // the endpoint that has just failed
+	Settled          bool    // prefer boxes that are not reclaimable
+	Weigh            version.Weight
+	Policy           RoutePolicy
+	PrefillRate      float64       // prompt tokens per second
+	Service          time.Duration // mean time a request spends at an endpoint
+	PreferRendezvous bool          // this daemon sees little of what other daemons send
+	Draw             uint64        // random number for the choice; a seed reproduces it
+	Parts            []Part        // of the prompt; empty if not known
+	Pause            time.Duration // longest pause within a stream that still counts as in time; 0 if not known
+	Trial            bool          // route to a version under canary evaluation
+	Ejected          bool          // also allow endpoints ejected for soft failures
+	Without          mechanism.Set // mechanisms that are switched off
+	At               time.Time     // time of the routing decision
+	Rested           bool          // also allow endpoints that asked other daemons to back off
 }
 
 // Choice is the endpoint chosen, the reason, and the estimates behind it.
