--- a/request/route.go
+++ b/request/route.go
@@ -22,24 +22,24 @@
 
 // Need describes a request to routing.
 type Need struct {
-	Prefix           uint64  // hash of the prompt's first part; 0 for none
-	Prompt           int     // approximate number of prompt tokens
-	Plain            bool    // a call without a prompt: no cache affinity
-	Avoid            *Target // the endpoint that has just failed
-	Settled          bool    // prefer boxes that are not reclaimable
-	Weigh            version.Weight
-	Policy           RoutePolicy
-	PrefillRate      float64       // prompt tokens per second
-	Service          time.Duration // mean time a request spends at an endpoint
-	PreferRendezvous bool          // this daemon sees little of what other daemons send
-	Draw             uint64        // random number for the choice; a seed reproduces it
-	Parts            []Part        // of the prompt; empty if not known
-	Pause            time.Duration // longest pause within a stream that still counts as in time; 0 if not known
-	Trial            bool          // route to a version under canary evaluation
-	Ejected          bool          // also allow endpoints ejected for soft failures
-	Without          mechanism.Set // mechanisms that are switched off
-	At               time.Time     // time of the routing decision
-	Rested           bool          // also allow endpoints that asked other daemons to back off
+	Prefix               uint64  // hash of the prompt's first part; 0 for none
+	Prompt               int     // approximate number of prompt tokens
+	Plain                bool    // a call without a prompt: no cache affinity
+	Avoid                *Target // the endpoint that has just failed
+	PreferNonReclaimable bool    // prefer boxes that are not reclaimable
+	Weigh                version.Weight
+	Policy               RoutePolicy
+	PrefillRate          float64       // prompt tokens per second
+	Service              time.Duration // mean time a request spends at an endpoint
+	PreferRendezvous     bool          // this daemon sees little of what other daemons send
+	Draw                 uint64        // random number for the choice; a seed reproduces it
+	Parts                []Part        // of the prompt; empty if not known
+	Pause                time.Duration // longest pause within a stream that still counts as in time; 0 if not known
+	Trial                bool          // route to a version under canary evaluation
+	Ejected              bool          // also allow endpoints ejected for soft failures
+	Without              mechanism.Set // mechanisms that are switched off
+	At                   time.Time     // time of the routing decision
+	Rested               bool          // also allow endpoints that asked other daemons to back off
 }
 
 // Choice is the endpoint chosen, the reason, and the estimates behind it.
@@ -197,7 +197,7 @@
 // chooseTwo chooses the less loaded of two random endpoints of the availability zone, and spills to all
 // zones if that one is over the load bound.
 func (p *Pool) chooseTwo(l *poolList, n Need) (Choice, bool) {
-	if n.Settled {
+	if n.PreferNonReclaimable {
 		if c, ok := chooseNonReclaimable(l, n); ok {
 			return c, true
 		}
--- a/request/route_test.go
+++ b/request/route_test.go
@@ -83,7 +83,7 @@
 						open++
 					}
 				}
-				for _, n := range []request.Need{need(rapid.Uint64().Draw(t, "prefix")), {Plain: true}, {Plain: true, Settled: true}} {
+				for _, n := range []request.Need{need(rapid.Uint64().Draw(t, "prefix")), {Plain: true}, {Plain: true, PreferNonReclaimable: true}} {
 					c, ok := p.Route(now, n)
 					if ok && (left[c.Target.ID] || now.Before(until[c.Target.ID])) {
 						t.Fatalf("excluded endpoint %s was chosen", c.Target.ID)
@@ -169,7 +169,7 @@
 	}
 	got := make(map[string]int)
 	for i := range uint64(requests) {
-		c, ok := p.Route(start, request.Need{Plain: true, Settled: true, Draw: i * 0x9e3779b97f4a7c15})
+		c, ok := p.Route(start, request.Need{Plain: true, PreferNonReclaimable: true, Draw: i * 0x9e3779b97f4a7c15})
 		assert.True(t, ok)
 		got[c.Target.ID]++
 	}
