--- a/request/attempt.go
+++ b/request/attempt.go
@@ -150,7 +150,7 @@
 		return c, true
 	}
 	c, ok := r.work.Pool.Route(now, n)
-	if n.Rested = true; ok && r.overloaded(c) != nil {
+	if n.AllowBackedOff = true; ok && r.overloaded(c) != nil {
 		// An endpoint that asked for a rest may have capacity for it.
 		return r.work.Pool.Route(now, n)
 	}
--- a/request/route.go
+++ b/request/route.go
@@ -39,7 +39,7 @@
 	Ejected              bool          // also allow endpoints ejected for soft failures
 	Without              mechanism.Set // mechanisms that are switched off
 	At                   time.Time     // time of the routing decision
-	Rested               bool          // also allow endpoints that asked other daemons to back off
+	AllowBackedOff       bool          // also allow endpoints that asked other daemons to back off
 }
 
 // Choice is the endpoint chosen, the reason, and the estimates behind it.
@@ -91,8 +91,8 @@
 // are slow at once, all are ejected for timeouts, and a slow one is better than none.
 func (p *Pool) Route(now time.Time, n Need) (Choice, bool) {
 	c, ok := p.route(now, n)
-	if !ok && !n.Rested {
-		n.Rested = true
+	if !ok && !n.AllowBackedOff {
+		n.AllowBackedOff = true
 		c, ok = p.route(now, n)
 	}
 	if !ok {
@@ -125,7 +125,7 @@
 	if t.excluded.Load() && !(n.Ejected && t.softEjected.Load()) || t == n.Avoid || !t.takes(n.Trial) {
 		return false
 	}
-	if !n.Rested && t.advertised.othersBackoff.left(n.At) > 0 {
+	if !n.AllowBackedOff && t.advertised.othersBackoff.left(n.At) > 0 {
 		return false
 	}
 	_, shut := t.advertised.acceptsFrom(n.At)
