--- a/request/attempt.go
+++ b/request/attempt.go
@@ -174,7 +174,7 @@
 	if r.barred(now, c.Target) {
 		return EndedUnsent, errBarred
 	}
-	if c.Target.over.Load() {
+	if c.Target.superseded.Load() {
 		return EndedUnsent, errNewStart
 	}
 	if _, leaving := c.Target.Leaving(); leaving {
--- a/request/enddetector.go
+++ b/request/enddetector.go
@@ -62,12 +62,12 @@
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	var err error
-	if !t.over.Load() {
+	if !t.superseded.Load() {
 		err = x.client.Reach(ctx, t.Address)
 	}
 	now := x.now()
 	_, leaving := t.Leaving()
-	ended := (t.over.Load() || conn.Refused(err)) && !leaving
+	ended := (t.superseded.Load() || conn.Refused(err)) && !leaving
 	x.log.WithFields(logrus.Fields{
 		"endpoint": t.ID, "requests": len(flights), "ended": ended, "leaving": leaving, "error": err,
 	}).Info("endpoint closed connections")
--- a/request/target.go
+++ b/request/target.go
@@ -71,7 +71,7 @@
 	holds        *holdTime     // of the service
 	places       SlotUsage     // slots used by other daemons
 	hasCompleted atomic.Bool   // it has completed a request of this daemon
-	over         atomic.Bool   // the endpoint has restarted since
+	superseded   atomic.Bool   // the endpoint has restarted since
 	role         atomic.Int32  // rollout.Role of its version
 	resting      atomic.Bool   // canary instance without traffic, as others suffice for the evaluation
 	sentDecayed  atomic.Uint32 // decaying count of requests sent by this daemon, as float bits
@@ -244,7 +244,7 @@
 
 // end excludes an instance that has been replaced and cancels its in-flight requests.
 func (t *Target) end() {
-	t.over.Store(true)
+	t.superseded.Store(true)
 	t.softEjected.Store(false)
 	t.excluded.Store(true)
 	t.mu.Lock()
