--- a/request/attempt.go
+++ b/request/attempt.go
@@ -142,7 +142,7 @@
 	n := r.need(now)
 	if p := r.prefer; p != nil {
 		r.prefer = nil
-		if p.open(n) {
+		if p.eligible(n) {
 			return Choice{Target: p, Load: int(p.load.Load()), Hit: 1, Why: "holds the KV cache"}, true
 		}
 	}
--- a/request/backlog.go
+++ b/request/backlog.go
@@ -267,7 +267,7 @@
 		return h
 	}
 	for _, t := range l.all {
-		if !t.open(n) {
+		if !t.eligible(n) {
 			continue
 		}
 		w := mix(n.Prefix, t.hash)
@@ -305,7 +305,7 @@
 		reserved = max(1, int(reservedShare*float64(len(l.all))))
 	}
 	for i, t := range l.all {
-		if !t.open(n) {
+		if !t.eligible(n) {
 			continue
 		}
 		r := t.backlog.Estimate(now, n.Parts)
--- a/request/route.go
+++ b/request/route.go
@@ -120,8 +120,8 @@
 	}
 }
 
-// open reports whether the target is eligible for the request.
-func (t *Target) open(n Need) bool {
+// eligible reports whether the target is eligible for the request.
+func (t *Target) eligible(n Need) bool {
 	if t.excluded.Load() && !(n.Ejected && t.softEjected.Load()) || t == n.Avoid || !t.takes(n.Trial) {
 		return false
 	}
@@ -147,7 +147,7 @@
 func chooseRandom(all []*Target, n Need) (Choice, bool) {
 	start := pick(n.Draw, len(all))
 	for i := range all {
-		if t := all[(start+i)%len(all)]; t.open(n) {
+		if t := all[(start+i)%len(all)]; t.eligible(n) {
 			return Choice{Target: t, Load: int(t.load.Load()), Why: "random"}, true
 		}
 	}
@@ -160,7 +160,7 @@
 	start := pick(n.Draw, len(all))
 	for i := range all {
 		t := all[(start+i)%len(all)]
-		if f(t) && t.open(n) && (best == nil || t.rampedLoad() < best.rampedLoad()) {
+		if f(t) && t.eligible(n) && (best == nil || t.rampedLoad() < best.rampedLoad()) {
 			best = t
 		}
 	}
@@ -184,7 +184,7 @@
 	start := pick(n.Draw, len(all))
 	for i := range all {
 		t := all[(start+i)%len(all)]
-		if t.open(n) && int(t.load.Load()) <= bound && (best == nil || t.recentlySent() < best.recentlySent()) {
+		if t.eligible(n) && int(t.load.Load()) <= bound && (best == nil || t.recentlySent() < best.recentlySent()) {
 			best = t
 		}
 	}
@@ -231,11 +231,11 @@
 	}
 	a, b := ts[pick(n.Draw, len(ts))], ts[pick(mix(n.Draw, secondDrawSalt), len(ts))]
 	switch {
-	case !a.open(n) && !b.open(n):
+	case !a.eligible(n) && !b.eligible(n):
 		return nil
-	case !a.open(n):
+	case !a.eligible(n):
 		return b
-	case !b.open(n) || a.rampedLoad() <= b.rampedLoad():
+	case !b.eligible(n) || a.rampedLoad() <= b.rampedLoad():
 		return a
 	default:
 		return b
@@ -246,7 +246,7 @@
 func loadBound(l *poolList, n Need) int {
 	sum, count := 0, 0
 	for _, t := range l.all {
-		if t.open(n) {
+		if t.eligible(n) {
 			sum += int(t.load.Load())
 			count++
 		}
@@ -297,7 +297,7 @@
 	var weights [candidateCount]uint64
 	sum, open, sent := 0, 0, 0.0
 	for _, t := range l.all {
-		if !t.open(n) {
+		if !t.eligible(n) {
 			continue
 		}
 		open++
