--- a/request/permit.go
+++ b/request/permit.go
@@ -64,8 +64,8 @@
 	return 0, code.New(code.AtLimits, "no endpoint of %s accepts more requests for %s, as advertised", r.work.Pool.Service, wait.Round(time.Millisecond)).After(back)
 }
 
-// heed records the state that the endpoint advertises about itself in an answer.
-func (r *run) heed(t *Target, h AnswerHead) {
+// recordAdvertised records the state that the endpoint advertises about itself in an answer.
+func (r *run) recordAdvertised(t *Target, h AnswerHead) {
 	now, said := r.Now(), h.Said.Validated()
 	r.logInvalid(t, said.Bad)
 	told := logrus.Fields{}
--- a/request/relay.go
+++ b/request/relay.go
@@ -148,7 +148,7 @@
 		c.Target.places.Told(now, head.Load-int(c.Target.ownLoad.Load()))
 	}
 	if head.Own && (head.ID == r.r.ID || head.ID == "") {
-		r.heed(c.Target, head) // an answer to another request may carry older values
+		r.recordAdvertised(c.Target, head) // an answer to another request may carry older values
 	}
 	switch {
 	case head.ID != "" && head.ID != r.r.ID, head.ID == "" && resp.StatusCode < http.StatusBadRequest:
