--- a/request/attempt.go
+++ b/request/attempt.go
@@ -175,7 +175,7 @@
 		return EndedUnsent, errBarred
 	}
 	if c.Target.superseded.Load() {
-		return EndedUnsent, errNewStart
+		return EndedUnsent, errRestarted
 	}
 	if _, leaving := c.Target.Leaving(); leaving {
 		// The notice arrived between the choice and Begin, so it did not cover
--- a/request/settle.go
+++ b/request/settle.go
@@ -33,7 +33,7 @@
 	if e != EndedUnsent && e != EndedRefused {
 		r.life.Tainted = true
 	}
-	if conn.EndpointClosed(failure) || errors.Is(failure, errNewStart) && e == EndedBroken {
+	if conn.EndpointClosed(failure) || errors.Is(failure, errRestarted) && e == EndedBroken {
 		r.Count.CutOff.Add(1)
 		r.ends.connectionClosed(r.baseCtx, t, crash.Flight{Print: r.print, For: now.Sub(r.started)})
 	}
--- a/request/target.go
+++ b/request/target.go
@@ -239,8 +239,8 @@
 	return flights, true
 }
 
-// errNewStart ends an attempt whose endpoint has restarted: the new instance does not know the request.
-var errNewStart = errors.New("request: endpoint restarted")
+// errRestarted ends an attempt whose endpoint has restarted: the new instance does not know the request.
+var errRestarted = errors.New("request: endpoint restarted")
 
 // end excludes an instance that has been replaced and cancels its in-flight requests.
 func (t *Target) end() {
@@ -250,7 +250,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for f := range t.flights {
-		f.cancel(errNewStart)
+		f.cancel(errRestarted)
 	}
 }
 
