--- a/request/backlog.go
+++ b/request/backlog.go
@@ -216,7 +216,7 @@
 // HearSent records a prompt that another daemon has sent.
 func (w *ServiceStates) HearSent(now time.Time, s Sent) {
 	for _, k := range w.All() {
-		if t := k.Pool.view().byHash[s.Endpoint]; t != nil {
+		if t := k.Pool.snapshot().byHash[s.Endpoint]; t != nil {
 			m := t.backlog.Add(now, s.Fresh, s.Total, s.Parts)
 			t.places.Delay(t.holds.beside(m.own))
 			if w.opts.Without.On(mechanism.EnginePlaces) {
--- a/request/pool.go
+++ b/request/pool.go
@@ -116,9 +116,9 @@
 	t.end()
 }
 
-// view returns the snapshot for routing. It is built at the first use after a change, so that endpoints added
+// snapshot returns the snapshot for routing. It is built at the first use after a change, so that endpoints added
 // or removed together cost one rebuild: adding 210 takes 0.17 ms, and 7.7 ms with a rebuild for each.
-func (p *Pool) view() *poolList {
+func (p *Pool) snapshot() *poolList {
 	if l := p.list.Load(); l != nil {
 		return l
 	}
@@ -158,7 +158,7 @@
 }
 
 // Targets returns all endpoints, sorted by ID.
-func (p *Pool) Targets() []*Target { return p.view().all }
+func (p *Pool) Targets() []*Target { return p.snapshot().all }
 
 // Sync updates the pool from the box list and returns the boxes newly listed as leaving.
 func (p *Pool) Sync(boxes []seam.Box) (leaving []seam.Box) {
--- a/request/route.go
+++ b/request/route.go
@@ -103,7 +103,7 @@
 }
 
 func (p *Pool) route(now time.Time, n Need) (Choice, bool) {
-	l := p.view()
+	l := p.snapshot()
 	switch {
 	case len(l.all) == 0:
 		return Choice{}, false
--- a/request/servicestate.go
+++ b/request/servicestate.go
@@ -164,7 +164,7 @@
 // ByHash returns the endpoint instance with an Endpoint.Hash, or nil.
 func (w *ServiceStates) ByHash(hash uint64) *Target {
 	for _, k := range w.All() {
-		if t := k.Pool.view().byHash[hash]; t != nil {
+		if t := k.Pool.snapshot().byHash[hash]; t != nil {
 			return t
 		}
 	}
--- a/request/trial.go
+++ b/request/trial.go
@@ -57,7 +57,7 @@
 	p.standing = s
 	p.mu.Unlock()
 	used := make(map[*Target]bool)
-	all := p.view().all
+	all := p.snapshot().all
 	for n := 0; most > 0 && n < most; n++ {
 		var next *Target
 		for _, t := range all {
