--- a/request/attempt.go
+++ b/request/attempt.go
@@ -238,7 +238,7 @@
 	dog = time.AfterFunc(r.opts.FirstWait, func() {
 		mu.Lock()
 		defer mu.Unlock()
-		if t.saysFull(r.Now()) && r.Now().Before(r.giveUpAt()) {
+		if t.reportedFull(r.Now()) && r.Now().Before(r.giveUpAt()) {
 			dog.Reset(r.opts.FirstWait)
 			return
 		}
--- a/request/target.go
+++ b/request/target.go
@@ -162,8 +162,8 @@
 	return now.Sub(t.reportedAt)
 }
 
-// saysFull reports whether the endpoint is full according to a recent load report or announcement.
-func (t *Target) saysFull(now time.Time) bool {
+// reportedFull reports whether the endpoint is full according to a recent load report or announcement.
+func (t *Target) reportedFull(now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.class == Full && now.Sub(t.reportedAt) < loadReportTTL
