--- a/request/backlog.go
+++ b/request/backlog.go
@@ -206,9 +206,9 @@
 // Begun records that the engine has begun to answer a prompt.
 func (t *Target) Begun(now time.Time, m Mark) { t.backlog.Begun(now, m) }
 
-// ReadingDone returns the total prefill time that the engine has completed: prefill during an answer delays
+// PrefillDone returns the total prefill time that the engine has completed: prefill during an answer delays
 // that answer.
-func (t *Target) ReadingDone(now time.Time) time.Duration { return t.backlog.Done(now) }
+func (t *Target) PrefillDone(now time.Time) time.Duration { return t.backlog.Done(now) }
 
 // Dropped records that the engine will not process a prompt.
 func (t *Target) Dropped(now time.Time, m Mark) { t.backlog.Dropped(now, m) }
--- a/request/placement_test.go
+++ b/request/placement_test.go
@@ -286,7 +286,7 @@
 		return
 	}
 	j.target.End(nil)
-	p.daemons[j.daemon].Works.All()[0].Pool.Held(j.guess, now.Sub(j.began), j.target.ReadingDone(now)-j.read)
+	p.daemons[j.daemon].Works.All()[0].Pool.Held(j.guess, now.Sub(j.began), j.target.PrefillDone(now)-j.read)
 	delete(e.running, j)
 	p.count(j)
 	p.begin(now, e)
@@ -311,7 +311,7 @@
 
 func (p *placementSim) first(now time.Time, j *job) {
 	j.target.Begun(now, j.mark)
-	j.begun, j.began, j.read = true, now, j.target.ReadingDone(now)
+	j.begun, j.began, j.read = true, now, j.target.PrefillDone(now)
 	j.late = now.Sub(j.sent) > p.kinds[j.kind].target
 }
 
--- a/request/relay.go
+++ b/request/relay.go
@@ -328,7 +328,7 @@
 			if r.startedAttempts == 0 {
 				r.work.Pool.cost.LearnEvents(x.Guess, count)
 				now := r.Now()
-				r.work.Pool.Held(x.OutTokens, now.Sub(r.started)-r.first, c.Target.ReadingDone(now)-readBefore)
+				r.work.Pool.Held(x.OutTokens, now.Sub(r.started)-r.first, c.Target.PrefillDone(now)-readBefore)
 			}
 			return EndedComplete, nil
 		}
@@ -347,7 +347,7 @@
 			x.recordStart(now)
 			r.life.apply(eventStream)
 			c.Target.Begun(now, mark)
-			readBefore = c.Target.ReadingDone(now)
+			readBefore = c.Target.PrefillDone(now)
 		}
 		if ev.ID >= 0 && x.lastEvent > 0 && ev.ID <= x.lastEvent {
 			return EndedBroken, errEventOrder
