--- a/entry/daemon.go
+++ b/entry/daemon.go
@@ -152,7 +152,7 @@
 	o.RouteWait = defaultRetryAfter
 	o.Listed = d.listed
 	o.Trials = &d.rollouts
-	o.Permits, o.Said = &d.limits, d.words.queue
+	o.Permits, o.OnAdvertised = &d.limits, d.words.queue
 	o.Without = d.without
 	o.Homes = d.largeFleet
 	o.Holds = d.holdShare()
--- a/request/permit.go
+++ b/request/permit.go
@@ -87,8 +87,8 @@
 	}
 	r.log.WithFields(told).WithFields(logrus.Fields{"endpoint": t.ID, "request": r.r.ID}).
 		Info("endpoint advertised new state")
-	if r.opts.Said != nil {
-		r.opts.Said(t.State(now))
+	if r.opts.OnAdvertised != nil {
+		r.opts.OnAdvertised(t.State(now))
 	}
 }
 
