--- a/entry/daemon.go
+++ b/entry/daemon.go
@@ -158,7 +158,7 @@
 	o.Holds = d.holdShare()
 	o.Now, o.Look = clock.Now, func() { clock.Refresh() }
 	if d.without.On(mechanism.SentWords) {
-		o.Sent = d.sends.add
+		o.OnSent = d.sends.add
 	}
 	b := d.Site().Bounds
 	o.Drain = b.Drain
--- a/request/relay.go
+++ b/request/relay.go
@@ -254,8 +254,8 @@
 		return Mark{}
 	}
 	mark, word := c.Target.Send(r.Now(), c.Fresh, x.Parts, x.OutTokens)
-	if r.opts.Sent != nil {
-		r.opts.Sent(word)
+	if r.opts.OnSent != nil {
+		r.opts.OnSent(word)
 	}
 	return mark
 }
