--- a/entry/daemon.go
+++ b/entry/daemon.go
@@ -154,7 +154,7 @@
 	o.Trials = &d.rollouts
 	o.Permits, o.OnAdvertised = &d.limits, d.words.queue
 	o.Without = d.without
-	o.Homes = d.largeFleet
+	o.PreferRendezvous = d.largeFleet
 	o.Holds = d.holdShare()
 	o.Now, o.Look = clock.Now, func() { clock.Refresh() }
 	if d.without.On(mechanism.SentWords) {
--- a/request/attempt.go
+++ b/request/attempt.go
@@ -57,7 +57,7 @@
 	}
 	n.Prefix, n.Prompt = r.r.Prefix(), r.r.PromptTokens()
 	if x := r.r.Relay; x != nil {
-		n.PreferRendezvous = r.opts.Homes != nil && r.opts.Homes()
+		n.PreferRendezvous = r.opts.PreferRendezvous != nil && r.opts.PreferRendezvous()
 		n.Parts, n.Pause, n.Service = x.Parts, x.Pause, relaySlotTime
 	}
 	n.PrefillRate = r.work.Speed.Prefill()
--- a/request/servicestate.go
+++ b/request/servicestate.go
@@ -20,33 +20,33 @@
 
 // Options configure how a daemon serves requests.
 type Options struct {
-	Zone         string
-	Route        RoutePolicy
-	Move         MovePolicy
-	MaxQueued    int                   // maximum queued requests of one service
-	FirstWait    time.Duration         // timeout for the first event of an endpoint
-	Stall        time.Duration         // timeout between events of an endpoint
-	Drain        time.Duration         // how long an endpoint continues after it announces that it leaves
-	Grace        time.Duration         // how long a request continues past its deadline
-	Detached     time.Duration         // how long an answer with an idempotency key continues without a reader
-	Keep         time.Duration         // retention of a finished answer with an idempotency key
-	KeepMost     int                   // maximum number of retained answers
-	Transfer     float64               // KV export rate of an engine, in tokens per second
-	StartLimit   int                   // initial concurrency limit of a service
-	NoLimit      bool                  // disables the adaptive limit, for comparison
-	NoBudget     bool                  // disables the retry budget, for comparison
-	NoFairQueue  bool                  // one queue for all teams, for comparison
-	Retry        *RetryBound           // bound on retries over all daemons; nil for a share of the successes
-	RouteWait    time.Duration         // maximum wait for an eligible endpoint; 0 for the request's deadline
-	Listed       Listed                // nil if the endpoint list never expires
-	Homes        func() bool           // reports whether daemons see little of what others send; nil for no
-	OnSent       func(s Sent)          // called for each prompt sent to an engine; nil for none
-	Without      mechanism.Set         // mechanisms that are switched off
-	Trials       Trials                // canary evaluation of rolled-out versions; nil for none
-	Judge        JudgePolicy           // decides what follows an attempt; nil for Classify
-	Permits      Permits               // for endpoints with an advertised rate limit; nil for none
-	OnAdvertised func(w EndpointState) // called when an endpoint's answers advertise new state; nil for none
-	Holds        HoldShare             // shares with other daemons which requests are held back
+	Zone             string
+	Route            RoutePolicy
+	Move             MovePolicy
+	MaxQueued        int                   // maximum queued requests of one service
+	FirstWait        time.Duration         // timeout for the first event of an endpoint
+	Stall            time.Duration         // timeout between events of an endpoint
+	Drain            time.Duration         // how long an endpoint continues after it announces that it leaves
+	Grace            time.Duration         // how long a request continues past its deadline
+	Detached         time.Duration         // how long an answer with an idempotency key continues without a reader
+	Keep             time.Duration         // retention of a finished answer with an idempotency key
+	KeepMost         int                   // maximum number of retained answers
+	Transfer         float64               // KV export rate of an engine, in tokens per second
+	StartLimit       int                   // initial concurrency limit of a service
+	NoLimit          bool                  // disables the adaptive limit, for comparison
+	NoBudget         bool                  // disables the retry budget, for comparison
+	NoFairQueue      bool                  // one queue for all teams, for comparison
+	Retry            *RetryBound           // bound on retries over all daemons; nil for a share of the successes
+	RouteWait        time.Duration         // maximum wait for an eligible endpoint; 0 for the request's deadline
+	Listed           Listed                // nil if the endpoint list never expires
+	PreferRendezvous func() bool           // reports whether daemons see little of what others send; nil for no
+	OnSent           func(s Sent)          // called for each prompt sent to an engine; nil for none
+	Without          mechanism.Set         // mechanisms that are switched off
+	Trials           Trials                // canary evaluation of rolled-out versions; nil for none
+	Judge            JudgePolicy           // decides what follows an attempt; nil for Classify
+	Permits          Permits               // for endpoints with an advertised rate limit; nil for none
+	OnAdvertised     func(w EndpointState) // called when an endpoint's answers advertise new state; nil for none
+	Holds            HoldShare             // shares with other daemons which requests are held back
 
 	Now  func() time.Time // clock for ages and deadlines; nil for time.Now
 	Look func()           // refreshes Now after a wait; nil for nothing
