--- a/request/settle.go
+++ b/request/settle.go
@@ -94,7 +94,7 @@
 		// Recorded at the end of the answer, not at its first token: an endpoint that
 		// starts every answer and completes none would never be ejected.
 		t.Succeed()
-		if pace, ok := r.pace(now); ok && r.opts.Without.On(mechanism.SlowEjection) && t.Paced(now, pace, r.work.Speed.Pace(!r.r.IsModel())) {
+		if pace, ok := r.pace(now); ok && r.opts.Without.On(mechanism.SlowEjection) && t.RecordPace(now, pace, r.work.Speed.Pace(!r.r.IsModel())) {
 			r.logEject(t, fmt.Sprintf("slow: pace %s, usual pace %s", pace, r.work.Speed.Pace(!r.r.IsModel())))
 		}
 	case EndedUnsent, EndedBroken:
--- a/request/target.go
+++ b/request/target.go
@@ -334,9 +334,9 @@
 	slowFactor     = 4
 )
 
-// Paced records the time per token (or per plain call) of a complete answer, and reports whether the
+// RecordPace records the time per token (or per plain call) of a complete answer, and reports whether the
 // endpoint is ejected as slow compared with the service's usual value.
-func (t *Target) Paced(now time.Time, pace, usual time.Duration) bool {
+func (t *Target) RecordPace(now time.Time, pace, usual time.Duration) bool {
 	t.mu.Lock()
 	t.paceSamples++
 	t.meanPace += (pace - t.meanPace) / time.Duration(min(t.paceSamples, slowMinAnswers))
