--- a/request/attempt.go
+++ b/request/attempt.go
@@ -79,7 +79,7 @@
 		c, ok := Choice{}, false
 		if listed {
 			c, ok = r.chooseEndpoint(now)
-			c.Until = current
+			c.SendBy = current
 		}
 		if err := r.overloaded(c); ok && err != nil {
 			return Choice{}, err
@@ -168,7 +168,7 @@
 	c.Target.Begin(f)
 	defer c.Target.End(f)
 	now := r.opts.look()
-	if !c.Until.IsZero() && !now.Before(c.Until) {
+	if !c.SendBy.IsZero() && !now.Before(c.SendBy) {
 		return EndedUnsent, errStaleList // the box was suspended after the choice
 	}
 	if r.barred(now, c.Target) {
--- a/request/permit.go
+++ b/request/permit.go
@@ -42,8 +42,8 @@
 		}
 		return false
 	}
-	if until := now.Add(permitLife); c.Until.IsZero() || until.Before(c.Until) {
-		c.Until = until
+	if until := now.Add(permitLife); c.SendBy.IsZero() || until.Before(c.SendBy) {
+		c.SendBy = until
 	}
 	return true
 }
--- a/request/relay.go
+++ b/request/relay.go
@@ -231,7 +231,7 @@
 // startListTimer cancels an attempt that is not yet connected when the list from which its
 // endpoint was chosen becomes too old: the endpoint may have announced since that it leaves.
 func (r *run) startListTimer(c Choice, cancel context.CancelCauseFunc) *time.Timer {
-	until := c.Until
+	until := c.SendBy
 	if until.IsZero() {
 		until = r.r.Deadline
 	}
--- a/request/route.go
+++ b/request/route.go
@@ -52,7 +52,7 @@
 	PrefillEstimate
 	Place  time.Duration // estimated wait for a free slot there
 	First  time.Duration // expected time to the first event; 0 if not known
-	Until  time.Time     // latest time to send the request; zero for no limit
+	SendBy time.Time     // latest time to send the request; zero for no limit
 	Others [candidateCount]Candidate
 }
 
