--- a/entry/sentprompts.go
+++ b/entry/sentprompts.go
@@ -30,8 +30,8 @@
 
 // sentBy holds the prompts sent by one daemon.
 type sentBy struct {
-	From  uint32         `codec:"d"` // number of the sending daemon, so that it does not count its own prompts again
-	Sends []request.Sent `codec:"s"`
+	From  uint32               `codec:"d"` // number of the sending daemon, so that it does not count its own prompts again
+	Sends []request.SentPrompt `codec:"s"`
 }
 
 // daemonNumber returns the number of a daemon in a sentBy. Two daemons with the same number only miss each
@@ -41,13 +41,13 @@
 // sendQueue batches the prompts that other daemons are to be informed of.
 type sendQueue struct {
 	mu     sync.Mutex
-	own    []request.Sent
+	own    []request.SentPrompt
 	zone   []sentBy // from daemons of this zone
 	beyond []sentBy // from the readers of other zones
 	wake   chan struct{}
 }
 
-func (q *sendQueue) add(s request.Sent) {
+func (q *sendQueue) add(s request.SentPrompt) {
 	q.mu.Lock()
 	q.own = newestSends(append(q.own, s))
 	q.mu.Unlock()
--- a/request/backlog.go
+++ b/request/backlog.go
@@ -181,8 +181,8 @@
 	b.pending = max(0, b.pending-m.own)
 }
 
-// Sent announces to other daemons that a prompt was sent to an engine.
-type Sent struct {
+// SentPrompt announces to other daemons that a prompt was sent to an engine.
+type SentPrompt struct {
 	Endpoint uint64 `codec:"e"` // Endpoint.Hash of the engine
 	Fresh    int    `codec:"f"` // tokens not cached at the engine
 	Total    int    `codec:"t"` // tokens of the whole prompt
@@ -193,8 +193,8 @@
 // Send records a prompt sent to the engine, of which fresh tokens are not cached there and whose answer is
 // expected to have out tokens. It returns the prompt's position in the backlog and the announcement for
 // other daemons.
-func (t *Target) Send(now time.Time, fresh int, parts []Part, out int) (Mark, Sent) {
-	s := Sent{Endpoint: t.hash, Fresh: fresh, Parts: parts[:len(parts)-1], Out: out}
+func (t *Target) Send(now time.Time, fresh int, parts []Part, out int) (Mark, SentPrompt) {
+	s := SentPrompt{Endpoint: t.hash, Fresh: fresh, Parts: parts[:len(parts)-1], Out: out}
 	for _, p := range parts {
 		s.Total += p.Tokens
 	}
@@ -214,7 +214,7 @@
 func (t *Target) Dropped(now time.Time, m Mark) { t.backlog.Dropped(now, m) }
 
 // HearSent records a prompt that another daemon has sent.
-func (w *ServiceStates) HearSent(now time.Time, s Sent) {
+func (w *ServiceStates) HearSent(now time.Time, s SentPrompt) {
 	for _, k := range w.All() {
 		if t := k.Pool.snapshot().byHash[s.Endpoint]; t != nil {
 			m := t.backlog.Add(now, s.Fresh, s.Total, s.Parts)
--- a/request/placement_test.go
+++ b/request/placement_test.go
@@ -227,7 +227,7 @@
 	}
 	j.target = c.Target
 	c.Target.Begin(nil)
-	var word request.Sent
+	var word request.SentPrompt
 	j.guess = int(float64(j.events*tokensPerEvent) * math.Exp(0.5*p.rng.NormFloat64()))
 	j.mark, word = c.Target.Send(now, c.Fresh, j.parts, j.guess)
 	for i, d := range p.daemons {
--- a/request/servicestate.go
+++ b/request/servicestate.go
@@ -40,7 +40,7 @@
 	RouteWait        time.Duration         // maximum wait for an eligible endpoint; 0 for the request's deadline
 	Listed           Listed                // nil if the endpoint list never expires
 	PreferRendezvous func() bool           // reports whether daemons see little of what others send; nil for no
-	OnSent           func(s Sent)          // called for each prompt sent to an engine; nil for none
+	OnSent           func(s SentPrompt)    // called for each prompt sent to an engine; nil for none
 	Without          mechanism.Set         // mechanisms that are switched off
 	Trials           Trials                // canary evaluation of rolled-out versions; nil for none
 	Judge            JudgePolicy           // decides what follows an attempt; nil for Classify
