--- a/entry/scale.go
+++ b/entry/scale.go
@@ -118,7 +118,7 @@
 			x.demand[name] = w
 		}
 		pool := x.d.work(name).Pool
-		w.AddReadTime(now, pool.Reading())
+		w.AddReadTime(now, pool.TotalPrefill())
 		places, _ := pool.Capacity()
 		w.SetRunning(now, x.d.tallies.Running(now, pool.Service), places)
 	}
--- a/request/pool.go
+++ b/request/pool.go
@@ -220,9 +220,9 @@
 	return batch, load
 }
 
-// Reading returns the estimated prefill time of all prompts sent to the engines by all daemons, as far as
+// TotalPrefill returns the estimated prefill time of all prompts sent to the engines by all daemons, as far as
 // this daemon knows of them.
-func (p *Pool) Reading() time.Duration {
+func (p *Pool) TotalPrefill() time.Duration {
 	return p.cost.Counted()
 }
 
