--- a/entry/scale.go
+++ b/entry/scale.go
@@ -227,7 +227,7 @@
 	if slots > 0 {
 		l.SlotLoad = w.Running / slots
 	}
-	l.Read, l.ReadSCV = pool.ReadTimes()
+	l.Read, l.ReadSCV = pool.PrefillTimes()
 	if x.d.without.On(mechanism.BlindTime) {
 		l.StateDelay = x.d.sendsDelay()
 	}
--- a/request/pool.go
+++ b/request/pool.go
@@ -226,9 +226,9 @@
 	return p.cost.Counted()
 }
 
-// ReadTimes returns the mean prefill time of recently sent prompts and its squared coefficient of variation;
+// PrefillTimes returns the mean prefill time of recently sent prompts and its squared coefficient of variation;
 // zeros while there is none.
-func (p *Pool) ReadTimes() (mean time.Duration, spread float64) { return p.cost.Times() }
+func (p *Pool) PrefillTimes() (mean time.Duration, spread float64) { return p.cost.Times() }
 
 // InFlight returns the number of in-flight requests of this daemon.
 func (p *Pool) InFlight() int {
