--- a/entry/daemon.go
+++ b/entry/daemon.go
@@ -156,7 +156,7 @@
 	o.Without = d.without
 	o.PreferRendezvous = d.largeFleet
 	o.Holds = d.holdShare()
-	o.Now, o.Look = clock.Now, func() { clock.Refresh() }
+	o.Now, o.RefreshClock = clock.Now, func() { clock.Refresh() }
 	if d.without.On(mechanism.SentWords) {
 		o.OnSent = d.sends.add
 	}
--- a/request/servicestate.go
+++ b/request/servicestate.go
@@ -48,8 +48,8 @@
 	OnAdvertised     func(w EndpointState) // called when an endpoint's answers advertise new state; nil for none
 	Holds            HoldShare             // shares with other daemons which requests are held back
 
-	Now  func() time.Time // clock for ages and deadlines; nil for time.Now
-	Look func()           // refreshes Now after a wait; nil for nothing
+	Now          func() time.Time // clock for ages and deadlines; nil for time.Now
+	RefreshClock func()           // refreshes Now after a wait; nil for nothing
 }
 
 // Listed returns the latest time to send a request to an endpoint chosen from the current list, zero for no
@@ -66,8 +66,8 @@
 
 // look refreshes the clock and returns the current time.
 func (o *Options) look() time.Time {
-	if o.Look != nil {
-		o.Look()
+	if o.RefreshClock != nil {
+		o.RefreshClock()
 	}
 	return o.now()
 }
