--- a/request/attempt.go
+++ b/request/attempt.go
@@ -51,7 +51,7 @@
 
 // need returns the routing requirements of this request.
 func (r *run) need(now time.Time) Need {
-	n := Need{At: now, Plain: !r.r.IsModel(), Avoid: r.avoid, Weigh: r.r.Service.Weigh, Policy: r.opts.Route, PreferNonReclaimable: r.r.Unrepeatable, Draw: r.attemptHash(), Without: r.opts.Without}
+	n := Need{At: now, Plain: !r.r.IsModel(), Avoid: r.avoid, RecomputeWeight: r.r.Service.Weigh, Policy: r.opts.Route, PreferNonReclaimable: r.r.Unrepeatable, Draw: r.attemptHash(), Without: r.opts.Without}
 	if n.Plain {
 		return n
 	}
--- a/request/route.go
+++ b/request/route.go
@@ -27,7 +27,7 @@
 	Plain                bool    // a call without a prompt: no cache affinity
 	Avoid                *Target // the endpoint that has just failed
 	PreferNonReclaimable bool    // prefer boxes that are not reclaimable
-	Weigh                version.Weight
+	RecomputeWeight      version.Weight
 	Policy               RoutePolicy
 	PrefillRate          float64       // prompt tokens per second
 	Service              time.Duration // mean time a request spends at an endpoint
@@ -334,7 +334,7 @@
 // score returns the expected wait and recompute time in seconds.
 func (p *Pool) score(t *Target, n Need, hit float64) float64 {
 	weight := 1.0
-	if n.Weigh == version.WeighRecompute {
+	if n.RecomputeWeight == version.WeighRecompute {
 		weight = recomputeWeight
 	}
 	s := 0.0
