--- a/request/attempt.go
+++ b/request/attempt.go
@@ -70,7 +70,7 @@
 // route chooses an endpoint. While none is available it waits for one.
 func (r *run) route(ctx context.Context) (Choice, *code.Error) {
 	until := r.r.Arrived.Add(r.opts.RouteWait)
-	if r.life.Tainted { // otherwise it can be refused at once as not run
+	if r.life.MayHaveRun { // otherwise it can be refused at once as not run
 		until = r.Now().Add(resumeRouteWait)
 	}
 	for {
--- a/request/holds.go
+++ b/request/holds.go
@@ -94,10 +94,10 @@
 func (r *run) checkHold(ctx context.Context) *code.Error {
 	now := r.Now()
 	v, held := r.Holds.Ledger.Held(now, r.print)
-	if !held || r.holdTrial && !r.life.Tainted {
+	if !held || r.holdTrial && !r.life.MayHaveRun {
 		return nil
 	}
-	if v.Due(now) && !r.life.Tainted && r.Holds.claimTrial(ctx, now, v) {
+	if v.Due(now) && !r.life.MayHaveRun && r.Holds.claimTrial(ctx, now, v) {
 		r.holdTrial = true
 		return nil
 	}
--- a/request/life.go
+++ b/request/life.go
@@ -60,8 +60,8 @@
 
 // Life is the state machine of one request.
 type Life struct {
-	fsm     *fsm.FSM
-	Tainted bool // an endpoint may have started the request
+	fsm        *fsm.FSM
+	MayHaveRun bool // an endpoint may have started the request
 }
 
 // NewLife returns a Life in the state received.
--- a/request/permit.go
+++ b/request/permit.go
@@ -57,7 +57,7 @@
 		return routeWait, nil
 	}
 	wait = max(at.Sub(now), time.Millisecond)
-	if wait <= routeWait || r.life.Tainted {
+	if wait <= routeWait || r.life.MayHaveRun {
 		return min(wait, routeWait), nil
 	}
 	back := r.work.Pool.retrySchedule.next(now, at, gap).Sub(now)
--- a/request/server.go
+++ b/request/server.go
@@ -353,7 +353,7 @@
 
 // refuse ends the request as not run.
 func (r *run) refuse(err *code.Error) {
-	refused := !r.life.Tainted && r.life.apply(eventRefuse)
+	refused := !r.life.MayHaveRun && r.life.apply(eventRefuse)
 	if refused {
 		r.uncountTrial()
 		r.Count.Refused.Add(1)
@@ -372,7 +372,7 @@
 
 // end ends the request with an error; as not run only if that is certain.
 func (r *run) end(ctx context.Context, err *code.Error) {
-	if err.Code.Ran() == code.NotRun && !r.life.Tainted {
+	if err.Code.Ran() == code.NotRun && !r.life.MayHaveRun {
 		r.refuse(err)
 		return
 	}
--- a/request/settle.go
+++ b/request/settle.go
@@ -31,7 +31,7 @@
 		e = EndedCallerGone
 	}
 	if e != EndedUnsent && e != EndedRefused {
-		r.life.Tainted = true
+		r.life.MayHaveRun = true
 	}
 	if conn.EndpointClosed(failure) || errors.Is(failure, errRestarted) && e == EndedBroken {
 		r.Count.CutOff.Add(1)
@@ -42,12 +42,12 @@
 	}
 	r.noteTrial(now, t, e, failure)
 	a := Aftermath{
-		Ending: e, Unrepeatable: r.r.Unrepeatable, Tainted: r.life.Tainted,
+		Ending: e, Unrepeatable: r.r.Unrepeatable, Tainted: r.life.MayHaveRun,
 		Budget: r.opts.NoBudget || r.retryCharged.Load() || r.work.Budget.Left(now), GiveUpAt: r.giveUpAt(),
 		Strict: r.opts.Retry != nil, Spent: r.attemptsExhausted(e),
 	}
 	v := r.opts.judge(now, &a)
-	r.life.Tainted = a.Tainted
+	r.life.MayHaveRun = a.Tainted
 	if v.Action == Again && r.a.hasAllTokens() {
 		v = Verdict{Action: Finish}
 	}
