--- a/internal/trial/planted_test.go
+++ b/internal/trial/planted_test.go
@@ -51,7 +51,7 @@
 // refuseAfterSend reports a broken attempt as not run.
 func refuseAfterSend(now time.Time, a *request.Aftermath) request.Verdict {
 	if a.Ending == request.EndedBroken {
-		a.Tainted = false
+		a.MayHaveRun = false
 		return request.Verdict{Action: request.Refuse, Code: code.NoEndpoint}
 	}
 	return request.Classify(now, *a)
--- a/request/life.go
+++ b/request/life.go
@@ -122,7 +122,7 @@
 type Aftermath struct {
 	Ending       Ending
 	Unrepeatable bool
-	Tainted      bool // an endpoint may have started this or an earlier attempt
+	MayHaveRun   bool // an endpoint may have started this or an earlier attempt
 	Budget       bool // the retry budget allows one more retry
 	GiveUpAt     time.Time
 	Strict       bool // no retry beyond the retry budget
@@ -141,7 +141,7 @@
 		if (a.Budget || uncharged) && !late && !a.Spent {
 			return Verdict{Action: Again, Spend: !uncharged}
 		}
-		if !a.Tainted {
+		if !a.MayHaveRun {
 			return Verdict{Action: Refuse, Code: refusalCode(late)}
 		}
 	case EndedMoved:
--- a/request/life_test.go
+++ b/request/life_test.go
@@ -24,12 +24,12 @@
 			GiveUpAt:     start.Add(time.Duration(rapid.IntRange(-5, 5).Draw(t, "left")) * time.Second),
 		}
 		begun := a.Ending != request.EndedUnsent && a.Ending != request.EndedRefused
-		a.Tainted = begun || rapid.Bool().Draw(t, "tainted")
+		a.MayHaveRun = begun || rapid.Bool().Draw(t, "tainted")
 		v := request.Classify(start, a)
 		if v.Action == request.Again && a.Unrepeatable && begun {
 			t.Fatalf("an unrepeatable request is retried after %s", a.Ending)
 		}
-		if v.Action == request.Refuse && a.Tainted {
+		if v.Action == request.Refuse && a.MayHaveRun {
 			t.Fatalf("refused as not run after %s", a.Ending)
 		}
 		if v.Action == request.Refuse && v.Code.Ran() != code.NotRun {
--- a/request/settle.go
+++ b/request/settle.go
@@ -42,12 +42,12 @@
 	}
 	r.noteTrial(now, t, e, failure)
 	a := Aftermath{
-		Ending: e, Unrepeatable: r.r.Unrepeatable, Tainted: r.life.MayHaveRun,
+		Ending: e, Unrepeatable: r.r.Unrepeatable, MayHaveRun: r.life.MayHaveRun,
 		Budget: r.opts.NoBudget || r.retryCharged.Load() || r.work.Budget.Left(now), GiveUpAt: r.giveUpAt(),
 		Strict: r.opts.Retry != nil, Spent: r.attemptsExhausted(e),
 	}
 	v := r.opts.judge(now, &a)
-	r.life.MayHaveRun = a.Tainted
+	r.life.MayHaveRun = a.MayHaveRun
 	if v.Action == Again && r.a.hasAllTokens() {
 		v = Verdict{Action: Finish}
 	}
