--- a/internal/trial/planted_test.go
+++ b/internal/trial/planted_test.go
@@ -41,7 +41,7 @@
 }
 
 // dropMoved fails a stream that was cut because of a reclaim instead of resuming it.
-func dropMoved(now time.Time, a *request.Aftermath) request.Verdict {
+func dropMoved(now time.Time, a *request.AttemptOutcome) request.Verdict {
 	if a.Ending == request.EndedMoved {
 		return request.Verdict{Action: request.GiveUp, Code: code.NotWhole}
 	}
@@ -49,7 +49,7 @@
 }
 
 // refuseAfterSend reports a broken attempt as not run.
-func refuseAfterSend(now time.Time, a *request.Aftermath) request.Verdict {
+func refuseAfterSend(now time.Time, a *request.AttemptOutcome) request.Verdict {
 	if a.Ending == request.EndedBroken {
 		a.MayHaveRun = false
 		return request.Verdict{Action: request.Refuse, Code: code.NoEndpoint}
@@ -58,7 +58,7 @@
 }
 
 // rerunUnrepeatable retries a broken attempt even if the request is not idempotent.
-func rerunUnrepeatable(now time.Time, a *request.Aftermath) request.Verdict {
+func rerunUnrepeatable(now time.Time, a *request.AttemptOutcome) request.Verdict {
 	if a.Ending == request.EndedBroken {
 		return request.Verdict{Action: request.Again}
 	}
--- a/request/life.go
+++ b/request/life.go
@@ -118,8 +118,8 @@
 	Pause  bool // the retry budget is empty: use the long backoff
 }
 
-// Aftermath is the input of Classify.
-type Aftermath struct {
+// AttemptOutcome is the input of Classify.
+type AttemptOutcome struct {
 	Ending       Ending
 	Unrepeatable bool
 	MayHaveRun   bool // an endpoint may have started this or an earlier attempt
@@ -131,7 +131,7 @@
 
 // Classify decides the next step after an attempt. No other code decides whether
 // a request may run a second time.
-func Classify(now time.Time, a Aftermath) Verdict {
+func Classify(now time.Time, a AttemptOutcome) Verdict {
 	late := !now.Before(a.GiveUpAt)
 	switch a.Ending {
 	case EndedComplete:
--- a/request/life_test.go
+++ b/request/life_test.go
@@ -17,7 +17,7 @@
 // that may have started is not sent again, and that "not run" is never reported wrongly.
 func TestClassifyNeverAllowsASecondRun(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		a := request.Aftermath{
+		a := request.AttemptOutcome{
 			Ending:       request.Ending(rapid.IntRange(int(request.EndedComplete), int(request.EndedCallerGone)).Draw(t, "ending")),
 			Unrepeatable: rapid.Bool().Draw(t, "unrepeatable"),
 			Budget:       rapid.Bool().Draw(t, "budget"),
--- a/request/servicestate.go
+++ b/request/servicestate.go
@@ -81,9 +81,9 @@
 }
 
 // JudgePolicy decides what follows an attempt. It may correct the Aftermath.
-type JudgePolicy func(now time.Time, a *Aftermath) Verdict
+type JudgePolicy func(now time.Time, a *AttemptOutcome) Verdict
 
-func (o *Options) judge(now time.Time, a *Aftermath) Verdict {
+func (o *Options) judge(now time.Time, a *AttemptOutcome) Verdict {
 	if o.Judge != nil {
 		return o.Judge(now, a)
 	}
--- a/request/settle.go
+++ b/request/settle.go
@@ -41,7 +41,7 @@
 		r.recordOutcome(now, t, e)
 	}
 	r.noteTrial(now, t, e, failure)
-	a := Aftermath{
+	a := AttemptOutcome{
 		Ending: e, Unrepeatable: r.r.Unrepeatable, MayHaveRun: r.life.MayHaveRun,
 		Budget: r.opts.NoBudget || r.retryCharged.Load() || r.work.Budget.Left(now), GiveUpAt: r.giveUpAt(),
 		Strict: r.opts.Retry != nil, Spent: r.attemptsExhausted(e),
