--- a/internal/trial/planted_test.go
+++ b/internal/trial/planted_test.go
@@ -60,7 +60,7 @@
 // rerunUnrepeatable retries a broken attempt even if the request is not idempotent.
 func rerunUnrepeatable(now time.Time, a *request.AttemptOutcome) request.Verdict {
 	if a.Ending == request.EndedBroken {
-		return request.Verdict{Action: request.Again}
+		return request.Verdict{Action: request.Retry}
 	}
 	return request.Classify(now, *a)
 }
--- a/request/life.go
+++ b/request/life.go
@@ -102,7 +102,7 @@
 // The actions after an attempt.
 const (
 	Finish Action = iota // the answer is complete
-	Again                // retry at another endpoint, from where the answer stopped
+	Retry                // retry at another endpoint, from where the answer stopped
 	Refuse               // report as not run
 	GiveUp               // the outcome is unknown
 )
@@ -139,14 +139,14 @@
 	case EndedUnsent, EndedRefused:
 		uncharged := a.Strict && a.Ending == EndedUnsent // nothing reached an endpoint
 		if (a.Budget || uncharged) && !late && !a.Spent {
-			return Verdict{Action: Again, Spend: !uncharged}
+			return Verdict{Action: Retry, Spend: !uncharged}
 		}
 		if !a.MayHaveRun {
 			return Verdict{Action: Refuse, Code: refusalCode(late)}
 		}
 	case EndedMoved:
 		if !a.Unrepeatable && !late {
-			return Verdict{Action: Again}
+			return Verdict{Action: Retry}
 		}
 	case EndedBroken:
 		// Unless the budget is strict, an accepted request is not given up when the
@@ -154,7 +154,7 @@
 		// at once do not multiply the load.
 		denied := a.Strict && !a.Budget
 		if !a.Unrepeatable && !late && !a.Spent && !denied {
-			return Verdict{Action: Again, Spend: true, Pause: !a.Budget}
+			return Verdict{Action: Retry, Spend: true, Pause: !a.Budget}
 		}
 	case EndedError:
 		return Verdict{Action: GiveUp, Code: code.EndpointAnswer}
--- a/request/life_test.go
+++ b/request/life_test.go
@@ -26,7 +26,7 @@
 		begun := a.Ending != request.EndedUnsent && a.Ending != request.EndedRefused
 		a.MayHaveRun = begun || rapid.Bool().Draw(t, "tainted")
 		v := request.Classify(start, a)
-		if v.Action == request.Again && a.Unrepeatable && begun {
+		if v.Action == request.Retry && a.Unrepeatable && begun {
 			t.Fatalf("an unrepeatable request is retried after %s", a.Ending)
 		}
 		if v.Action == request.Refuse && a.MayHaveRun {
--- a/request/settle.go
+++ b/request/settle.go
@@ -48,7 +48,7 @@
 	}
 	v := r.opts.judge(now, &a)
 	r.life.MayHaveRun = a.MayHaveRun
-	if v.Action == Again && r.a.hasAllTokens() {
+	if v.Action == Retry && r.a.hasAllTokens() {
 		v = Verdict{Action: Finish}
 	}
 	if v.Action != Finish {
@@ -62,7 +62,7 @@
 		r.refuse(code.New(v.Code, "%v", failure).After(time.Second))
 	case GiveUp:
 		r.giveUp(ctx, v.Code, failure)
-	case Again:
+	case Retry:
 		r.prepareRetry(ctx, e, v, t)
 		return false
 	}
