--- a/request/attempt.go
+++ b/request/attempt.go
@@ -46,17 +46,17 @@
 // attemptHash returns the hash from which the next attempt's random choices derive: of the
 // request's id and the number of attempts so far.
 func (r *run) attemptHash() uint64 {
-	return mix(xxhash.Sum64String(r.r.ID), uint64(r.attempts+1))
+	return mix(xxhash.Sum64String(r.req.ID), uint64(r.attempts+1))
 }
 
 // need returns the routing requirements of this request.
 func (r *run) need(now time.Time) Need {
-	n := Need{At: now, Plain: !r.r.IsModel(), Avoid: r.avoid, RecomputeWeight: r.r.Service.Weigh, Policy: r.opts.Route, PreferNonReclaimable: r.r.Unrepeatable, Draw: r.attemptHash(), Without: r.opts.Without}
+	n := Need{At: now, Plain: !r.req.IsModel(), Avoid: r.avoid, RecomputeWeight: r.req.Service.Weigh, Policy: r.opts.Route, PreferNonReclaimable: r.req.Unrepeatable, Draw: r.attemptHash(), Without: r.opts.Without}
 	if n.Plain {
 		return n
 	}
-	n.Prefix, n.Prompt = r.r.Prefix(), r.r.PromptTokens()
-	if x := r.r.Relay; x != nil {
+	n.Prefix, n.Prompt = r.req.Prefix(), r.req.PromptTokens()
+	if x := r.req.Relay; x != nil {
 		n.PreferRendezvous = r.opts.PreferRendezvous != nil && r.opts.PreferRendezvous()
 		n.Parts, n.Pause, n.Service = x.Parts, x.Pause, relaySlotTime
 	}
@@ -69,7 +69,7 @@
 
 // route chooses an endpoint. While none is available it waits for one.
 func (r *run) route(ctx context.Context) (Choice, *code.Error) {
-	until := r.r.Arrived.Add(r.opts.RouteWait)
+	until := r.req.Arrived.Add(r.opts.RouteWait)
 	if r.life.MayHaveRun { // otherwise it can be refused at once as not run
 		until = r.Now().Add(resumeRouteWait)
 	}
@@ -99,7 +99,7 @@
 				return Choice{}, err
 			}
 		}
-		late := !now.Add(r.ticket.Expect).Before(r.r.Deadline) && r.attempts == 0
+		late := !now.Add(r.ticket.Expect).Before(r.req.Deadline) && r.attempts == 0
 		waited := r.opts.RouteWait > 0 && !now.Before(until)
 		if late || waited || !now.Before(r.giveUpAt()) {
 			return Choice{}, r.noEndpoint(listed)
@@ -130,7 +130,7 @@
 // engine with the shortest prefill backlog would start it later than its wait limit.
 // Refused at once, it can still be answered in time when the caller retries.
 func (r *run) overloaded(c Choice) *code.Error {
-	x := r.r.Relay
+	x := r.req.Relay
 	if x == nil || x.WaitLimit == 0 || !r.opts.Without.On(mechanism.Admission) || r.attempts > 0 || !c.WaitsBeyond(x.WaitLimit) {
 		return nil
 	}
@@ -161,9 +161,9 @@
 func (r *run) attempt(ctx context.Context, c Choice) (Ending, error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	f := &Flight{answer: r.a, pinned: r.r.Unrepeatable, cancel: cancel}
-	if r.r.IsModel() {
-		f.prefix = r.r.Prefix()
+	f := &Flight{answer: r.a, pinned: r.req.Unrepeatable, cancel: cancel}
+	if r.req.IsModel() {
+		f.prefix = r.req.Prefix()
 	}
 	c.Target.Begin(f)
 	defer c.Target.End(f)
@@ -187,9 +187,9 @@
 	var ending Ending
 	var err error
 	switch {
-	case r.r.Relay != nil:
+	case r.req.Relay != nil:
 		ending, err = r.attemptRelay(ctx, c)
-	case r.r.IsModel():
+	case r.req.IsModel():
 		ending, err = r.attemptModel(ctx, c)
 	default:
 		ending, err = r.attemptPlain(ctx, c)
@@ -213,7 +213,7 @@
 	switch {
 	case f.Status == 0 && !f.Sent:
 		return EndedUnsent
-	case slices.Contains(r.r.Service.NotRunStatuses, f.Status):
+	case slices.Contains(r.req.Service.NotRunStatuses, f.Status):
 		return EndedRefused
 	case f.Status >= http.StatusBadRequest && f.Status < http.StatusInternalServerError:
 		return EndedError
@@ -228,8 +228,8 @@
 // retry elsewhere would add load. An unrepeatable request cannot be retried and
 // waits until its deadline.
 func (r *run) startSilenceTimer(t *Target, cancel context.CancelCauseFunc) *time.Timer {
-	if r.r.Unrepeatable {
-		return time.AfterFunc(max(r.r.Deadline.Sub(r.Now()), clock.LeastTimer), func() { cancel(errSilent) })
+	if r.req.Unrepeatable {
+		return time.AfterFunc(max(r.req.Deadline.Sub(r.Now()), clock.LeastTimer), func() { cancel(errSilent) })
 	}
 	var dog *time.Timer
 	var mu sync.Mutex // dog is assigned before its callback reads it
@@ -252,8 +252,8 @@
 	attempt := r.nextAttemptID()
 	prompt, emitted := r.a.begin(attempt, r.restart)
 	r.restart = false
-	prefix := r.r.Prefix()
-	path, body, err := r.r.attemptBody(prompt, emitted, cacheKey(prefix))
+	prefix := r.req.Prefix()
+	path, body, err := r.req.attemptBody(prompt, emitted, cacheKey(prefix))
 	if err != nil {
 		return EndedError, err
 	}
@@ -263,7 +263,7 @@
 	defer dog.Stop()
 	h := http.Header{"Content-Type": {"application/json"}, "X-Request-Id": {attempt}}
 	st, err := r.Client.Open(ctx, conn.Call{
-		Address: c.Target.Address, Method: http.MethodPost, Path: path, Header: h, Body: body, Unrepeatable: r.r.Unrepeatable,
+		Address: c.Target.Address, Method: http.MethodPost, Path: path, Header: h, Body: body, Unrepeatable: r.req.Unrepeatable,
 	})
 	if err != nil {
 		return r.classifyError(err), err
@@ -292,7 +292,7 @@
 			r.succeeded = true
 			return EndedComplete, nil
 		}
-		if !r.r.Unrepeatable {
+		if !r.req.Unrepeatable {
 			dog.Reset(r.opts.Stall)
 		}
 		if ch.Usage != nil && ch.Usage.PromptTokens > 0 {
@@ -314,7 +314,7 @@
 	}
 	took := now.Sub(r.started)
 	if rate := r.work.Speed.Prefill(); rate > 0 {
-		fresh := (1 - c.Hit) * float64(r.r.PromptTokens()+had)
+		fresh := (1 - c.Hit) * float64(r.req.PromptTokens()+had)
 		took -= time.Duration(fresh / rate * float64(time.Second))
 	}
 	running, _ := r.work.Queue.State()
@@ -329,17 +329,17 @@
 	dog := r.startSilenceTimer(c.Target, cancel)
 	defer dog.Stop()
 	ans, err := r.Client.Do(ctx, conn.Call{
-		Address: c.Target.Address, Method: r.r.Method, Path: r.r.Path, Header: r.r.forward(attempt),
-		Body: r.r.Body, Unrepeatable: r.r.Unrepeatable,
+		Address: c.Target.Address, Method: r.req.Method, Path: r.req.Path, Header: r.req.forward(attempt),
+		Body: r.req.Body, Unrepeatable: r.req.Unrepeatable,
 	})
 	if err != nil {
 		return r.classifyError(err), err
 	}
-	if slices.Contains(r.r.Service.NotRunStatuses, ans.Status) {
+	if slices.Contains(r.req.Service.NotRunStatuses, ans.Status) {
 		return EndedRefused, &conn.Failure{Sent: true, Status: ans.Status}
 	}
 	gateway := ans.Status == http.StatusBadGateway || ans.Status == http.StatusServiceUnavailable || ans.Status == http.StatusGatewayTimeout
-	if gateway && !r.r.Unrepeatable && r.attempts == 1 {
+	if gateway && !r.req.Unrepeatable && r.attempts == 1 {
 		return EndedBroken, &conn.Failure{Sent: true, Status: ans.Status}
 	}
 	if !r.opts.NoLimit {
--- a/request/permit.go
+++ b/request/permit.go
@@ -85,7 +85,7 @@
 	if len(told) == 0 {
 		return
 	}
-	r.log.WithFields(told).WithFields(logrus.Fields{"endpoint": t.ID, "request": r.r.ID}).
+	r.log.WithFields(told).WithFields(logrus.Fields{"endpoint": t.ID, "request": r.req.ID}).
 		Info("endpoint advertised new state")
 	if r.opts.OnAdvertised != nil {
 		r.opts.OnAdvertised(t.State(now))
@@ -96,7 +96,7 @@
 func (r *run) logInvalid(t *Target, bad []pace.InvalidValue) {
 	for _, b := range bad {
 		if t.advertised.recordInvalid(b) {
-			r.log.WithFields(logrus.Fields{"endpoint": t.ID, "value": b.Value, "request": r.r.ID}).
+			r.log.WithFields(logrus.Fields{"endpoint": t.ID, "value": b.Value, "request": r.req.ID}).
 				Warnf("ignored an invalid %s advertised by the endpoint", b.What)
 		}
 	}
--- a/request/relay.go
+++ b/request/relay.go
@@ -116,9 +116,9 @@
 
 // attemptRelay sends the request to one endpoint and forwards its answer.
 func (r *run) attemptRelay(ctx context.Context, c Choice) (Ending, error) {
-	x := r.r.Relay
+	x := r.req.Relay
 	r.attempts++
-	left := r.r.Deadline.Sub(r.Now())
+	left := r.req.Deadline.Sub(r.Now())
 	if left <= 0 {
 		return EndedUnsent, errDeadline
 	}
@@ -132,9 +132,9 @@
 	defer old.Stop()
 	mark := r.recordPrompt(c)
 	resp, err := r.Client.Forward(ctx, conn.Passed{
-		Address: c.Target.Address, Method: r.r.Method, Target: r.r.Path, Host: x.Host,
+		Address: c.Target.Address, Method: r.req.Method, Target: r.req.Path, Host: x.Host,
 		Header: x.Codec.Head(Attempt{Endpoint: c.Target.ID, Left: left, Resume: x.headWritten, After: x.lastEvent}),
-		Body:   r.r.Body, Fresh: r.r.Unrepeatable, Connected: func() { old.Stop() },
+		Body:   r.req.Body, Fresh: r.req.Unrepeatable, Connected: func() { old.Stop() },
 	})
 	if err != nil {
 		c.Target.Dropped(r.Now(), mark)
@@ -147,11 +147,11 @@
 		c.Target.Report(now, head.Load, head.Slots)
 		c.Target.places.Told(now, head.Load-int(c.Target.ownLoad.Load()))
 	}
-	if head.Own && (head.ID == r.r.ID || head.ID == "") {
+	if head.Own && (head.ID == r.req.ID || head.ID == "") {
 		r.recordAdvertised(c.Target, head) // an answer to another request may carry older values
 	}
 	switch {
-	case head.ID != "" && head.ID != r.r.ID, head.ID == "" && resp.StatusCode < http.StatusBadRequest:
+	case head.ID != "" && head.ID != r.req.ID, head.ID == "" && resp.StatusCode < http.StatusBadRequest:
 		return EndedBroken, errOtherAnswer
 	case head.NotRun:
 		c.Target.Dropped(r.Now(), mark)
@@ -203,11 +203,11 @@
 // While the retry budget has no retry to spare, an attempt is not cancelled either, as
 // the request would be lost.
 func (r *run) startWatchdog(c Choice, cancel context.CancelCauseFunc) watchdog {
-	x := r.r.Relay
-	if r.r.Unrepeatable || r.startedAttempts+1 >= x.Attempts || !r.opts.Without.On(mechanism.SilenceWatch) {
+	x := r.req.Relay
+	if r.req.Unrepeatable || r.startedAttempts+1 >= x.Attempts || !r.opts.Without.On(mechanism.SilenceWatch) {
 		return watchdog{}
 	}
-	wait := max(r.r.Route.Target.Duration, minAnswerTime) + c.First
+	wait := max(r.req.Route.Target.Duration, minAnswerTime) + c.First
 	w := watchdog{stall: max(stallFactor*x.Pause, minStallTimeout), stopped: new(atomic.Bool)}
 	var mu sync.Mutex // w.timer is assigned before its callback reads it
 	mu.Lock()
@@ -233,7 +233,7 @@
 func (r *run) startListTimer(c Choice, cancel context.CancelCauseFunc) *time.Timer {
 	until := c.SendBy
 	if until.IsZero() {
-		until = r.r.Deadline
+		until = r.req.Deadline
 	}
 	return time.AfterFunc(max(until.Sub(r.Now()), clock.LeastTimer), func() { cancel(errStaleList) })
 }
@@ -249,7 +249,7 @@
 
 // recordPrompt adds the prompt to the backlog of its engine, in this daemon and in the others.
 func (r *run) recordPrompt(c Choice) Mark {
-	x := r.r.Relay
+	x := r.req.Relay
 	if len(x.Parts) == 0 {
 		return Mark{}
 	}
@@ -263,7 +263,7 @@
 // forwardAnswer reads a complete answer and forwards it, unless it is a server error, for
 // which another endpoint may succeed.
 func (r *run) forwardAnswer(resp *http.Response, head AnswerHead) (Ending, error) {
-	x := r.r.Relay
+	x := r.req.Relay
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswerBytes+1))
 	if err == nil && len(body) > maxAnswerBytes {
 		err = errors.Errorf("request: answer exceeds %d bytes", maxAnswerBytes)
@@ -281,7 +281,7 @@
 		if !head.Signed {
 			x.failed = nil
 		}
-		if r.r.Unrepeatable {
+		if r.req.Unrepeatable {
 			return EndedError, &conn.Failure{Sent: true, Status: resp.StatusCode}
 		}
 		return EndedBroken, &conn.Failure{Sent: true, Status: resp.StatusCode}
@@ -313,7 +313,7 @@
 // forwardEvents forwards a stream event by event. The head is written with the first
 // event, so that until then the request can be retried elsewhere.
 func (r *run) forwardEvents(c Choice, mark Mark, resp *http.Response, dog watchdog) (Ending, error) {
-	x := r.r.Relay
+	x := r.req.Relay
 	first, count, readBefore := true, 0, time.Duration(0)
 	events := conn.NewEvents(resp.Body)
 	flush := http.NewResponseController(x.Out)
--- a/request/requestlog.go
+++ b/request/requestlog.go
@@ -15,8 +15,8 @@
 // fields returns the fields common to all log lines of a request.
 func (r *run) fields(now time.Time) logrus.Fields {
 	return logrus.Fields{
-		"request": r.r.ID, "print": r.print.String(), "service": strings.TrimPrefix(r.work.Pool.Service, "/"), "route": r.r.Route.Name, "team": r.r.Team,
-		"attempt": r.attempts, "left_ms": r.r.Deadline.Sub(now).Milliseconds(), "age_ms": now.Sub(r.r.Arrived).Milliseconds(),
+		"request": r.req.ID, "print": r.print.String(), "service": strings.TrimPrefix(r.work.Pool.Service, "/"), "route": r.req.Route.Name, "team": r.req.Team,
+		"attempt": r.attempts, "left_ms": r.req.Deadline.Sub(now).Milliseconds(), "age_ms": now.Sub(r.req.Arrived).Milliseconds(),
 	}
 }
 
@@ -85,5 +85,5 @@
 
 // logEject logs the ejection of an endpoint.
 func (r *run) logEject(t *Target, why string) {
-	r.log.WithFields(logrus.Fields{"endpoint": t.ID, "service": r.work.Pool.Service, "request": r.r.ID}).Warnf("ejected: %s", why)
+	r.log.WithFields(logrus.Fields{"endpoint": t.ID, "service": r.work.Pool.Service, "request": r.req.ID}).Warnf("ejected: %s", why)
 }
--- a/request/server.go
+++ b/request/server.go
@@ -199,7 +199,7 @@
 // run is the state of one running request.
 type run struct {
 	*Server
-	r    *Request
+	req  *Request
 	a    *Answer
 	life *Life
 	work *ServiceState
@@ -226,7 +226,7 @@
 }
 
 func (s *Server) newRun(r *Request, a *Answer) *run {
-	return &run{Server: s, r: r, a: a, life: NewLife(), work: s.Works.Get(&r.Service), print: r.Print()}
+	return &run{Server: s, req: r, a: a, life: NewLife(), work: s.Works.Get(&r.Service), print: r.Print()}
 }
 
 // serve runs a request from admission to its end.
@@ -271,9 +271,9 @@
 		return err
 	}
 	r.ticket = Ticket{
-		Team: r.r.Partner + "/" + r.r.Team, Weight: r.r.Weight, Interactive: r.r.Route.Interactive,
-		Priority: r.r.Route.Priority, Target: r.r.target(), Deadline: r.r.Deadline,
-		Expect: r.work.Speed.Expect(r.r.expectOut(), r.r.PromptTokens()),
+		Team: r.req.Partner + "/" + r.req.Team, Weight: r.req.Weight, Interactive: r.req.Route.Interactive,
+		Priority: r.req.Route.Priority, Target: r.req.target(), Deadline: r.req.Deadline,
+		Expect: r.work.Speed.Expect(r.req.expectOut(), r.req.PromptTokens()),
 	}
 	if r.opts.NoFairQueue {
 		r.ticket.Team, r.ticket.Interactive, r.ticket.Priority = "", false, 0
@@ -281,7 +281,7 @@
 	if err := r.work.Queue.Enter(now, &r.ticket); err != nil {
 		return err
 	}
-	timer := time.NewTimer(max(r.r.Deadline.Sub(now)-r.ticket.Expect, clock.LeastTimer))
+	timer := time.NewTimer(max(r.req.Deadline.Sub(now)-r.ticket.Expect, clock.LeastTimer))
 	defer timer.Stop()
 	select {
 	case <-r.ticket.Ready():
@@ -299,10 +299,10 @@
 // takeClaim claims an unrepeatable request that has a key, and reports whether
 // the request has ended with that.
 func (r *run) takeClaim(ctx context.Context) bool {
-	if !r.r.Unrepeatable || r.r.Key == "" {
+	if !r.req.Unrepeatable || r.req.Key == "" {
 		return false
 	}
-	name, body := r.r.ClaimName(), r.r.BodyHash()
+	name, body := r.req.ClaimName(), r.req.BodyHash()
 	c := r.Claims.Take(ctx, r.Now(), name, body)
 	if c.State == ClaimHeld && c.Row.Body == body {
 		state := HolderReleased
@@ -311,7 +311,7 @@
 		} else if !r.Claims.Released(name) {
 			state = HolderUnknown
 		}
-		r.log.Infof("claim: %s is held by %s in state %d", r.r.ID, c.Row.Holder, state)
+		r.log.Infof("claim: %s is held by %s in state %d", r.req.ID, c.Row.Holder, state)
 		switch state {
 		case HolderReleased:
 			c = r.Claims.TakeOver(ctx, r.Now(), c)
@@ -342,7 +342,7 @@
 	case c.State == ClaimAnswered && c.Row.Answer != nil:
 		r.a.restore(*c.Row.Answer)
 		r.Count.Complete.Add(1)
-		r.log.Infof("claim: %s answered from the stored answer", r.r.ID)
+		r.log.Infof("claim: %s answered from the stored answer", r.req.ID)
 	case c.State == ClaimAnswered:
 		r.end(ctx, code.New(code.UnknownOutcome, "it has run; its answer was too large to store"))
 	default:
@@ -382,7 +382,7 @@
 	if r.baseCtx.Err() != nil {
 		err = code.New(code.HandedOver, "the daemon is shutting down; send the request again").After(time.Second)
 	}
-	if r.r.Unrepeatable && err.Code != code.EndpointAnswer {
+	if r.req.Unrepeatable && err.Code != code.EndpointAnswer {
 		err = code.New(code.UnknownOutcome, "%s", err.Message)
 	}
 	r.life.apply(eventLoseOutcome)
@@ -392,10 +392,10 @@
 }
 
 // giveUpAt returns the time at which a request is ended even if it is still running.
-func (r *run) giveUpAt() time.Time { return r.r.Deadline.Add(r.opts.Grace) }
+func (r *run) giveUpAt() time.Time { return r.req.Deadline.Add(r.opts.Grace) }
 
 // nextAttemptID counts an attempt and returns its request id.
 func (r *run) nextAttemptID() string {
 	r.attempts++
-	return r.r.ID + "." + uuid.NewString()[:8]
+	return r.req.ID + "." + uuid.NewString()[:8]
 }
--- a/request/settle.go
+++ b/request/settle.go
@@ -42,7 +42,7 @@
 	}
 	r.noteTrial(now, t, e, failure)
 	a := AttemptOutcome{
-		Ending: e, Unrepeatable: r.r.Unrepeatable, MayHaveRun: r.life.MayHaveRun,
+		Ending: e, Unrepeatable: r.req.Unrepeatable, MayHaveRun: r.life.MayHaveRun,
 		Budget: r.opts.NoBudget || r.retryCharged.Load() || r.work.Budget.Left(now), GiveUpAt: r.giveUpAt(),
 		Strict: r.opts.Retry != nil, Spent: r.attemptsExhausted(e),
 	}
@@ -76,7 +76,7 @@
 // attemptsExhausted counts an attempt that may have run, and reports whether the route's limit of
 // attempts is reached.
 func (r *run) attemptsExhausted(e Ending) bool {
-	x := r.r.Relay
+	x := r.req.Relay
 	if x == nil {
 		return false
 	}
@@ -94,15 +94,15 @@
 		// Recorded at the end of the answer, not at its first token: an endpoint that
 		// starts every answer and completes none would never be ejected.
 		t.Succeed()
-		if pace, ok := r.pace(now); ok && r.opts.Without.On(mechanism.SlowEjection) && t.RecordPace(now, pace, r.work.Speed.Pace(!r.r.IsModel())) {
-			r.logEject(t, fmt.Sprintf("slow: pace %s, usual pace %s", pace, r.work.Speed.Pace(!r.r.IsModel())))
+		if pace, ok := r.pace(now); ok && r.opts.Without.On(mechanism.SlowEjection) && t.RecordPace(now, pace, r.work.Speed.Pace(!r.req.IsModel())) {
+			r.logEject(t, fmt.Sprintf("slow: pace %s, usual pace %s", pace, r.work.Speed.Pace(!r.req.IsModel())))
 		}
 	case EndedUnsent, EndedBroken:
 		if _, leaving := t.Leaving(); !leaving && t.Fail(now, e == EndedUnsent) {
 			r.logEject(t, e.String())
 		}
 	case EndedRefused:
-		if r.r.Relay != nil {
+		if r.req.Relay != nil {
 			return // the endpoint is full, which is not a failure
 		}
 		t.Fail(now, false)
@@ -114,10 +114,10 @@
 // false for a relayed stream, and for an answer that came from several endpoints or
 // is too short.
 func (r *run) pace(now time.Time) (time.Duration, bool) {
-	if r.r.Relay != nil && r.r.Relay.Streaming {
+	if r.req.Relay != nil && r.req.Relay.Streaming {
 		return 0, false
 	}
-	if !r.r.IsModel() {
+	if !r.req.IsModel() {
 		return now.Sub(r.started), true
 	}
 	n := r.a.tokenCount()
@@ -171,7 +171,7 @@
 		r.Holds.recordSuccess(now, r.print)
 	}
 	event := eventComplete
-	if now.After(r.r.Deadline) {
+	if now.After(r.req.Deadline) {
 		event = eventLate
 		r.Count.Late.Add(1)
 	} else {
@@ -179,7 +179,7 @@
 	}
 	r.life.apply(event)
 	r.logEnd(now, nil)
-	if r.r.Relay != nil && r.r.Relay.Streaming {
+	if r.req.Relay != nil && r.req.Relay.Streaming {
 		r.a.settle(nil)
 		return
 	}
@@ -205,7 +205,7 @@
 		if err == nil || r.baseCtx.Err() != nil {
 			return
 		}
-		r.log.Warnf("claim: storing the answer of %s failed: %v", r.r.ID, err)
+		r.log.Warnf("claim: storing the answer of %s failed: %v", r.req.ID, err)
 		select {
 		case <-r.baseCtx.Done():
 			return
--- a/request/trial.go
+++ b/request/trial.go
@@ -127,9 +127,9 @@
 
 // trialAsk describes this request for Trials.
 func (r *run) trialAsk() TrialAsk {
-	a := TrialAsk{Service: r.r.Service.Name, Ask: rollout.Ask{Route: r.r.Route.Name}}
-	if r.r.IsModel() {
-		a.Expect = r.work.Pool.holds.of(r.r.expectOut())
+	a := TrialAsk{Service: r.req.Service.Name, Ask: rollout.Ask{Route: r.req.Route.Name}}
+	if r.req.IsModel() {
+		a.Expect = r.work.Pool.holds.of(r.req.expectOut())
 	} else {
 		a.Expect = r.work.Speed.Pace(true)
 	}
@@ -177,7 +177,7 @@
 	case rollout.Own:
 		return false
 	case rollout.Trial:
-		return r.opts.Trials == nil || !r.opts.Trials.Still(now, r.r.Service.Name)
+		return r.opts.Trials == nil || !r.opts.Trials.Still(now, r.req.Service.Name)
 	}
 	return true
 }
@@ -185,11 +185,11 @@
 // noteTrial reports the outcome of an attempt to Trials. A broken or refused connection, or an answer
 // that is incomplete or not signed by the endpoint, is no evidence about its version.
 func (r *run) noteTrial(now time.Time, t *Target, e Ending, failure error) {
-	if r.opts.Trials == nil || r.r.Relay == nil || r.started.Before(t.SlowUntil) {
+	if r.opts.Trials == nil || r.req.Relay == nil || r.started.Before(t.SlowUntil) {
 		return
 	}
 	a := TrialAnswer{
-		Service: r.r.Service.Name, Route: r.r.Route.Name, Endpoint: t.ID, Version: t.Version,
+		Service: r.req.Service.Name, Route: r.req.Route.Name, Endpoint: t.ID, Version: t.Version,
 		Took: now.Sub(r.started), First: r.first, Expected: r.expected, Events: r.events,
 	}
 	var f *conn.Failure
