--- a/request/attempt.go
+++ b/request/attempt.go
@@ -161,7 +161,7 @@
 func (r *run) attempt(ctx context.Context, c Choice) (Ending, error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	f := &Flight{answer: r.a, pinned: r.req.Unrepeatable, cancel: cancel}
+	f := &Flight{answer: r.answer, pinned: r.req.Unrepeatable, cancel: cancel}
 	if r.req.IsModel() {
 		f.prefix = r.req.Prefix()
 	}
@@ -250,7 +250,7 @@
 // attemptModel streams an answer from an engine.
 func (r *run) attemptModel(ctx context.Context, c Choice) (Ending, error) {
 	attempt := r.nextAttemptID()
-	prompt, emitted := r.a.begin(attempt, r.restart)
+	prompt, emitted := r.answer.begin(attempt, r.restart)
 	r.restart = false
 	prefix := r.req.Prefix()
 	path, body, err := r.req.attemptBody(prompt, emitted, cacheKey(prefix))
@@ -278,14 +278,14 @@
 	for {
 		ch, err := st.Next()
 		if err != nil {
-			if r.a.hasAllTokens() {
+			if r.answer.hasAllTokens() {
 				r.succeeded = true
 				return EndedComplete, nil
 			}
 			return EndedBroken, err
 		}
 		now := r.Now()
-		if err := r.a.accept(now, ch); err != nil {
+		if err := r.answer.accept(now, ch); err != nil {
 			return EndedBroken, err
 		}
 		if ch.Done {
@@ -347,6 +347,6 @@
 		r.work.Queue.Limit.Sample(r.Now(), r.Now().Sub(r.started), running)
 	}
 	r.succeeded = ans.Status < http.StatusMultipleChoices
-	r.a.setPlain(ans)
+	r.answer.setPlain(ans)
 	return EndedComplete, nil
 }
--- a/request/requestlog.go
+++ b/request/requestlog.go
@@ -55,7 +55,7 @@
 func (r *run) logAttempt(now time.Time, t *Target, e Ending, v Verdict, failure error) {
 	if l := r.line(now, logrus.InfoLevel); l != nil {
 		l.WithFields(logrus.Fields{
-			"endpoint": t.ID, "ending": e.String(), "then": v.Action.String(), "may_have_run": r.life.MayHaveRun, "tokens": r.a.tokenCount(),
+			"endpoint": t.ID, "ending": e.String(), "then": v.Action.String(), "may_have_run": r.life.MayHaveRun, "tokens": r.answer.tokenCount(),
 			"endpoint_closed": conn.EndpointClosed(failure), "ends_before": r.Holds.Ledger.Suspected(r.print),
 		}).Infof("attempt ended: %v", failure)
 	}
--- a/request/server.go
+++ b/request/server.go
@@ -199,10 +199,10 @@
 // run is the state of one running request.
 type run struct {
 	*Server
-	req  *Request
-	a    *Answer
-	life *Life
-	work *ServiceState
+	req    *Request
+	answer *Answer
+	life   *Life
+	work   *ServiceState
 
 	print     crash.Fingerprint
 	holdTrial bool // the request is held back, and this is its trial
@@ -226,7 +226,7 @@
 }
 
 func (s *Server) newRun(r *Request, a *Answer) *run {
-	return &run{Server: s, req: r, a: a, life: NewLife(), work: s.Works.Get(&r.Service), print: r.Print()}
+	return &run{Server: s, req: r, answer: a, life: NewLife(), work: s.Works.Get(&r.Service), print: r.Print()}
 }
 
 // serve runs a request from admission to its end.
@@ -242,7 +242,7 @@
 	if done := r.takeClaim(ctx); done {
 		return
 	}
-	if r.a.hasAllTokens() {
+	if r.answer.hasAllTokens() {
 		r.complete(r.Now()) // the handed-over answer is already complete
 		return
 	}
@@ -340,7 +340,7 @@
 	case c.Row.Body != body:
 		r.refuse(code.New(code.KeyReused, "the key was used before with another body"))
 	case c.State == ClaimAnswered && c.Row.Answer != nil:
-		r.a.restore(*c.Row.Answer)
+		r.answer.restore(*c.Row.Answer)
 		r.Count.Complete.Add(1)
 		r.log.Infof("claim: %s answered from the stored answer", r.req.ID)
 	case c.State == ClaimAnswered:
@@ -364,7 +364,7 @@
 		r.Count.Unknown.Add(1)
 	}
 	r.logEnd(r.Now(), err)
-	r.a.settle(err)
+	r.answer.settle(err)
 	if refused && r.claimed {
 		r.Claims.Release(context.WithoutCancel(r.baseCtx), r.claim)
 	}
@@ -388,7 +388,7 @@
 	r.life.apply(eventLoseOutcome)
 	r.Count.Unknown.Add(1)
 	r.logEnd(r.Now(), err)
-	r.a.settle(err)
+	r.answer.settle(err)
 }
 
 // giveUpAt returns the time at which a request is ended even if it is still running.
--- a/request/settle.go
+++ b/request/settle.go
@@ -48,7 +48,7 @@
 	}
 	v := r.opts.judge(now, &a)
 	r.life.MayHaveRun = a.MayHaveRun
-	if v.Action == Retry && r.a.hasAllTokens() {
+	if v.Action == Retry && r.answer.hasAllTokens() {
 		v = Verdict{Action: Finish}
 	}
 	if v.Action != Finish {
@@ -120,11 +120,11 @@
 	if !r.req.IsModel() {
 		return now.Sub(r.started), true
 	}
-	n := r.a.tokenCount()
+	n := r.answer.tokenCount()
 	if r.attempts > 1 || n < 4 {
 		return 0, false
 	}
-	return now.Sub(r.a.firstTokenAt()) / time.Duration(n-1), true
+	return now.Sub(r.answer.firstTokenAt()) / time.Duration(n-1), true
 }
 
 // prepareRetry prepares the next attempt: it charges the retry budget and waits for the backoff.
@@ -180,15 +180,15 @@
 	r.life.apply(event)
 	r.logEnd(now, nil)
 	if r.req.Relay != nil && r.req.Relay.Streaming {
-		r.a.settle(nil)
+		r.answer.settle(nil)
 		return
 	}
-	u := r.a.Usage()
-	first := r.a.firstTokenAt().Sub(r.started)
+	u := r.answer.Usage()
+	first := r.answer.firstTokenAt().Sub(r.started)
 	if r.attempts == 1 {
 		r.work.Speed.Answered(first, now.Sub(r.started), u.CompletionTokens, u.PromptTokens-u.Details.CachedTokens)
 	}
-	r.a.settle(nil)
+	r.answer.settle(nil)
 	if r.claimed {
 		r.storeAnswer()
 	}
@@ -197,7 +197,7 @@
 // storeAnswer stores the answer with its claim. The caller has the answer already; until
 // it is stored, repeats of the call are answered as still running.
 func (r *run) storeAnswer() {
-	snap := r.a.Snapshot()
+	snap := r.answer.Snapshot()
 	for try := range maxStoreAttempts {
 		ctx, cancel := context.WithTimeout(r.baseCtx, 5*time.Second)
 		err := r.Claims.Store(ctx, r.claim, snap)
