--- a/process/crashes.go
+++ b/process/crashes.go
@@ -29,7 +29,7 @@
 	return request.HoldShare{
 		Table: d.tables.claim,
 		Tell:  func(p conn.Payload) { d.Hub.Tell(p) },
-		Weigh: func(p conn.Payload) {
+		ReportEnd: func(p conn.Payload) {
 			if ends.AllowN(time.Now(), 1) {
 				d.Hub.Tell(p)
 			}
--- a/request/holds.go
+++ b/request/holds.go
@@ -18,12 +18,12 @@
 // HoldShare connects a daemon's Holds to other daemons and to the table. With the zero
 // value nothing is shared.
 type HoldShare struct {
-	Weigh func(conn.Payload)                // sends to the daemons that collect ends of endpoints
-	Pass  func(from string, p conn.Payload) // forwards a report to those of them that its sender does not reach; nil for never
-	Tell  func(conn.Payload)                // sends to all daemons
-	Near  func(conn.Payload)                // sends to the daemons that this one has links with
-	Table seam.Table                        // stores verdicts beyond the end of all daemons; nil for none
-	Day   func(now time.Time) time.Time     // the wall-clock time; nil for the box's clock
+	ReportEnd func(conn.Payload)                // sends to the daemons that collect ends of endpoints
+	Pass      func(from string, p conn.Payload) // forwards a report to those of them that its sender does not reach; nil for never
+	Tell      func(conn.Payload)                // sends to all daemons
+	Near      func(conn.Payload)                // sends to the daemons that this one has links with
+	Table     seam.Table                        // stores verdicts beyond the end of all daemons; nil for none
+	Day       func(now time.Time) time.Time     // the wall-clock time; nil for the box's clock
 }
 
 // Holds holds back requests that crash endpoints. The other daemons must know a verdict
@@ -49,7 +49,7 @@
 func (h *Holds) reportEnd(now time.Time, e crash.EndpointCrash) {
 	h.Ended.Add(1)
 	h.recordEnd(now, e)
-	sendMessage(h.share.Weigh, holdMessage{End: &e})
+	sendMessage(h.share.ReportEnd, holdMessage{End: &e})
 }
 
 // recordEnd records the end of an endpoint, reported by any daemon, and publishes new verdicts.
