--- a/request/holdmessage.go
+++ b/request/holdmessage.go
@@ -56,8 +56,8 @@
 		return
 	}
 	if n.End != nil {
-		if h.share.Pass != nil {
-			h.share.Pass(from, p)
+		if h.share.Forward != nil {
+			h.share.Forward(from, p)
 		}
 		h.recordEnd(now, *n.End)
 	}
--- a/request/holds.go
+++ b/request/holds.go
@@ -19,7 +19,7 @@
 // value nothing is shared.
 type HoldShare struct {
 	ReportEnd func(conn.Payload)                // sends to the daemons that collect ends of endpoints
-	Pass      func(from string, p conn.Payload) // forwards a report to those of them that its sender does not reach; nil for never
+	Forward   func(from string, p conn.Payload) // forwards a report to those of them that its sender does not reach; nil for never
 	Tell      func(conn.Payload)                // sends to all daemons
 	Near      func(conn.Payload)                // sends to the daemons that this one has links with
 	Table     seam.Table                        // stores verdicts beyond the end of all daemons; nil for none
