--- a/process/crashes.go
+++ b/process/crashes.go
@@ -27,8 +27,8 @@
 func (d *Daemon) holdShare() request.HoldShare {
 	ends := rate.NewLimiter(failureBroadcastRate, failureBroadcastBurst)
 	return request.HoldShare{
-		Table: d.tables.claim,
-		Tell:  func(p conn.Payload) { d.Hub.Tell(p) },
+		Table:     d.tables.claim,
+		Broadcast: func(p conn.Payload) { d.Hub.Tell(p) },
 		ReportEnd: func(p conn.Payload) {
 			if ends.AllowN(time.Now(), 1) {
 				d.Hub.Tell(p)
--- a/request/holdmessage.go
+++ b/request/holdmessage.go
@@ -79,7 +79,7 @@
 	_, known := h.Ledger.Held(now, v.Print)
 	if h.Ledger.Merge(now, v) {
 		h.log.WithField("print", v.Print.String()).Infof("request held back by %s was recently answered here: verdict cleared", from)
-		sendMessage(h.share.Tell, holdMessage{Cleared: []crash.Fingerprint{v.Print}})
+		sendMessage(h.share.Broadcast, holdMessage{Cleared: []crash.Fingerprint{v.Print}})
 		h.deleteVerdict(v.Print)
 		return
 	}
--- a/request/holdrows.go
+++ b/request/holdrows.go
@@ -181,7 +181,7 @@
 		return false // another daemon runs the trial, or the table is unavailable
 	}
 	h.Ledger.Merge(now, v)
-	sendMessage(h.share.Tell, verdictMessage(now, v))
+	sendMessage(h.share.Broadcast, verdictMessage(now, v))
 	h.log.WithField("print", v.Print.String()).Infof("trial %d of a request that is held back", v.Trials)
 	return true
 }
--- a/request/holds.go
+++ b/request/holds.go
@@ -20,7 +20,7 @@
 type HoldShare struct {
 	ReportEnd func(conn.Payload)                // sends to the daemons that collect ends of endpoints
 	Forward   func(from string, p conn.Payload) // forwards a report to those of them that its sender does not reach; nil for never
-	Tell      func(conn.Payload)                // sends to all daemons
+	Broadcast func(conn.Payload)                // sends to all daemons
 	Near      func(conn.Payload)                // sends to the daemons that this one has links with
 	Table     seam.Table                        // stores verdicts beyond the end of all daemons; nil for none
 	Day       func(now time.Time) time.Time     // the wall-clock time; nil for the box's clock
@@ -60,7 +60,7 @@
 			"print": v.Print.String(), "ends": v.Crashes, "last_endpoint": e.Endpoint, "beside": len(e.Flights) - 1,
 			"until_s": v.Until.Sub(now).Seconds(), "tried_again_s": v.NextTrial.Sub(now).Seconds(),
 		}).Warn("request held back: it crashes endpoints")
-		sendMessage(h.share.Tell, verdictMessage(now, v))
+		sendMessage(h.share.Broadcast, verdictMessage(now, v))
 		h.storeVerdict(v)
 	}
 }
@@ -72,7 +72,7 @@
 		return
 	}
 	h.log.WithField("print", p.String()).Info("request answered: it is no longer suspected of crashing endpoints")
-	sendMessage(h.share.Tell, holdMessage{Cleared: []crash.Fingerprint{p}})
+	sendMessage(h.share.Broadcast, holdMessage{Cleared: []crash.Fingerprint{p}})
 	if held {
 		h.deleteVerdict(p)
 	}
