--- a/process/crashes.go
+++ b/process/crashes.go
@@ -34,7 +34,7 @@
 				d.Hub.Tell(p)
 			}
 		},
-		Near: func(p conn.Payload) {
+		SendNeighbours: func(p conn.Payload) {
 			for _, name := range d.Hub.Mesh.NeighbourNames() {
 				d.Hub.Give(name, p)
 			}
--- a/request/holds.go
+++ b/request/holds.go
@@ -18,12 +18,12 @@
 // HoldShare connects a daemon's Holds to other daemons and to the table. With the zero
 // value nothing is shared.
 type HoldShare struct {
-	ReportEnd func(conn.Payload)                // sends to the daemons that collect ends of endpoints
-	Forward   func(from string, p conn.Payload) // forwards a report to those of them that its sender does not reach; nil for never
-	Broadcast func(conn.Payload)                // sends to all daemons
-	Near      func(conn.Payload)                // sends to the daemons that this one has links with
-	Table     seam.Table                        // stores verdicts beyond the end of all daemons; nil for none
-	Day       func(now time.Time) time.Time     // the wall-clock time; nil for the box's clock
+	ReportEnd      func(conn.Payload)                // sends to the daemons that collect ends of endpoints
+	Forward        func(from string, p conn.Payload) // forwards a report to those of them that its sender does not reach; nil for never
+	Broadcast      func(conn.Payload)                // sends to all daemons
+	SendNeighbours func(conn.Payload)                // sends to the daemons that this one has links with
+	Table          seam.Table                        // stores verdicts beyond the end of all daemons; nil for none
+	Day            func(now time.Time) time.Time     // the wall-clock time; nil for the box's clock
 }
 
 // Holds holds back requests that crash endpoints. The other daemons must know a verdict
@@ -81,7 +81,7 @@
 // Again sends the verdicts in force once more, for daemons that have missed them.
 func (h *Holds) Again(now time.Time) {
 	if vs := h.Ledger.Verdicts(now); len(vs) > 0 {
-		sendMessage(h.share.Near, verdictMessage(now, vs...))
+		sendMessage(h.share.SendNeighbours, verdictMessage(now, vs...))
 	}
 }
 
