--- a/entry/crashes.go
+++ b/entry/crashes.go
@@ -20,7 +20,7 @@
 
 func (d *Daemon) holdShare() request.HoldShare {
 	return request.HoldShare{
-		ReportEnd: d.sendCrash, Forward: d.forwardCrash, Table: d.table, Day: func(now time.Time) time.Time { return d.wall.At(now) },
+		ReportEnd: d.sendCrash, Forward: d.forwardCrash, Table: d.table, WallClock: func(now time.Time) time.Time { return d.wall.At(now) },
 		Broadcast:      func(p conn.Payload) { d.Hub.Tell(p) },
 		SendNeighbours: func(p conn.Payload) { d.sendToAll(d.Hub.Mesh.NeighbourNames(), p) },
 	}
--- a/request/holdrows.go
+++ b/request/holdrows.go
@@ -36,10 +36,10 @@
 
 // wallClock returns the wall-clock time.
 func (h *Holds) wallClock(now time.Time) time.Time {
-	if h.share.Day == nil {
+	if h.share.WallClock == nil {
 		return now
 	}
-	return h.share.Day(now)
+	return h.share.WallClock(now)
 }
 
 // encodeVerdict encodes a verdict for the table.
--- a/request/holds.go
+++ b/request/holds.go
@@ -23,7 +23,7 @@
 	Broadcast      func(conn.Payload)                // sends to all daemons
 	SendNeighbours func(conn.Payload)                // sends to the daemons that this one has links with
 	Table          seam.Table                        // stores verdicts beyond the end of all daemons; nil for none
-	Day            func(now time.Time) time.Time     // the wall-clock time; nil for the box's clock
+	WallClock      func(now time.Time) time.Time     // the wall-clock time; nil for the box's clock
 }
 
 // Holds holds back requests that crash endpoints. The other daemons must know a verdict
