--- a/entry/crashes.go
+++ b/entry/crashes.go
@@ -18,8 +18,8 @@
 // off has them by the time it counts as reachable, after 3 s.
 const holdsInterval = time.Second
 
-func (d *Daemon) holdShare() request.HoldShare {
-	return request.HoldShare{
+func (d *Daemon) holdShare() request.HoldTransport {
+	return request.HoldTransport{
 		ReportEnd: d.sendCrash, Forward: d.forwardCrash, Table: d.table, WallClock: func(now time.Time) time.Time { return d.wall.At(now) },
 		Broadcast:      func(p conn.Payload) { d.Hub.Tell(p) },
 		SendNeighbours: func(p conn.Payload) { d.sendToAll(d.Hub.Mesh.NeighbourNames(), p) },
--- a/process/crashes.go
+++ b/process/crashes.go
@@ -24,9 +24,9 @@
 
 // holdShare returns the functions that share held-back requests with other daemons, over the
 // mesh and through the table.
-func (d *Daemon) holdShare() request.HoldShare {
+func (d *Daemon) holdShare() request.HoldTransport {
 	ends := rate.NewLimiter(failureBroadcastRate, failureBroadcastBurst)
-	return request.HoldShare{
+	return request.HoldTransport{
 		Table:     d.tables.claim,
 		Broadcast: func(p conn.Payload) { d.Hub.Tell(p) },
 		ReportEnd: func(p conn.Payload) {
--- a/request/holds.go
+++ b/request/holds.go
@@ -15,9 +15,9 @@
 	"streambend.example/seam"
 )
 
-// HoldShare connects a daemon's Holds to other daemons and to the table. With the zero
+// HoldTransport connects a daemon's Holds to other daemons and to the table. With the zero
 // value nothing is shared.
-type HoldShare struct {
+type HoldTransport struct {
 	ReportEnd      func(conn.Payload)                // sends to the daemons that collect ends of endpoints
 	Forward        func(from string, p conn.Payload) // forwards a report to those of them that its sender does not reach; nil for never
 	Broadcast      func(conn.Payload)                // sends to all daemons
@@ -32,7 +32,7 @@
 type Holds struct {
 	Ledger crash.Ledger
 
-	share    HoldShare
+	share    HoldTransport
 	onEnd    func(now time.Time, endpoint string) // is called for each end
 	log      *logrus.Entry
 	now      func() time.Time
--- a/request/servicestate.go
+++ b/request/servicestate.go
@@ -46,7 +46,7 @@
 	Judge            JudgePolicy           // decides what follows an attempt; nil for Classify
 	Permits          Permits               // for endpoints with an advertised rate limit; nil for none
 	OnAdvertised     func(w EndpointState) // called when an endpoint's answers advertise new state; nil for none
-	Holds            HoldShare             // shares with other daemons which requests are held back
+	Holds            HoldTransport         // shares with other daemons which requests are held back
 
 	Now          func() time.Time // clock for ages and deadlines; nil for time.Now
 	RefreshClock func()           // refreshes Now after a wait; nil for nothing
