--- a/entry/daemon.go
+++ b/entry/daemon.go
@@ -266,7 +266,7 @@
 	d.run(func() { d.duties.run(d.ctx) })
 	d.run(func() { d.syncMembers(d.ctx) })
 	d.run(func() { d.loadHolds(d.ctx) })
-	d.every(holdsInterval, d.Server.Holds.Again)
+	d.every(holdsInterval, d.Server.Holds.ResendVerdicts)
 	d.every(holdsInterval, d.rollouts.sendReports)
 	d.every(evaluationPeriod, d.rollouts.evaluate)
 	d.every(tickPeriod, func(time.Time) { d.rollouts.load(d.ctx) })
--- a/process/daemon.go
+++ b/process/daemon.go
@@ -292,7 +292,7 @@
 	d.runPeriodically(d.placer.placeAll)
 	d.run(func() { d.loadHolds(d.ctx) })
 	d.runPeriodically(func(now time.Time) time.Duration {
-		d.Server.Holds.Again(now)
+		d.Server.Holds.ResendVerdicts(now)
 		return holdsResendPeriod
 	})
 }
--- a/request/holdrows.go
+++ b/request/holdrows.go
@@ -92,7 +92,7 @@
 			h.applyVerdict(now, "the table", v)
 		}
 	}
-	h.Again(now)
+	h.ResendVerdicts(now)
 	return true
 }
 
--- a/request/holds.go
+++ b/request/holds.go
@@ -78,8 +78,8 @@
 	}
 }
 
-// Again sends the verdicts in force once more, for daemons that have missed them.
-func (h *Holds) Again(now time.Time) {
+// ResendVerdicts sends the verdicts in force once more, for daemons that have missed them.
+func (h *Holds) ResendVerdicts(now time.Time) {
 	if vs := h.Ledger.Verdicts(now); len(vs) > 0 {
 		sendMessage(h.share.SendNeighbours, verdictMessage(now, vs...))
 	}
