--- a/entry/daemon.go
+++ b/entry/daemon.go
@@ -312,7 +312,7 @@
 	if in.Payload.Freed > 0 {
 		d.duties.noteFreed(in.Payload.Freed)
 	}
-	d.Server.Holds.Take(now, in.From, in.Payload)
+	d.Server.Holds.Receive(now, in.From, in.Payload)
 	d.rollouts.receive(now, in.From, in.Payload.Orders)
 	d.words.receive(now, in.From, in.Payload.Words)
 	if len(in.Payload.Sends) > 0 {
--- a/process/config.go
+++ b/process/config.go
@@ -240,7 +240,7 @@
 	if p.Config != nil || len(p.Entries) > 0 {
 		d.updateReadiness(now)
 	}
-	d.Server.Holds.Take(now, in.From, p)
+	d.Server.Holds.Receive(now, in.From, p)
 	d.fleet.recordNotices(now, p.Notices)
 	for _, l := range p.Loads {
 		d.fleet.recordLoad(now, l)
--- a/request/holdmessage.go
+++ b/request/holdmessage.go
@@ -45,8 +45,8 @@
 	}
 }
 
-// Take processes a message from another daemon.
-func (h *Holds) Take(now time.Time, from string, p conn.Payload) {
+// Receive processes a message from another daemon.
+func (h *Holds) Receive(now time.Time, from string, p conn.Payload) {
 	if len(p.Crashes) == 0 {
 		return
 	}
