--- a/entry/crashes.go
+++ b/entry/crashes.go
@@ -63,7 +63,7 @@
 		}
 		switch {
 		case due && (!d.largeFleet() || d.isReader()), d.fleet().InMinority():
-			due = !d.Server.Holds.Load(ctx) && due
+			due = !d.Server.Holds.LoadVerdicts(ctx) && due
 		default:
 			due = false
 		}
--- a/process/crashes.go
+++ b/process/crashes.go
@@ -44,7 +44,7 @@
 
 // loadHolds reads the requests held back by earlier daemons from the table, retrying until it succeeds.
 func (d *Daemon) loadHolds(ctx context.Context) {
-	for ctx.Err() == nil && !d.Server.Holds.Load(ctx) {
+	for ctx.Err() == nil && !d.Server.Holds.LoadVerdicts(ctx) {
 		sleep(ctx, seedPeriod)
 	}
 }
--- a/request/holdrows.go
+++ b/request/holdrows.go
@@ -67,9 +67,9 @@
 
 func holdKey(p crash.Fingerprint) seam.Key { return seam.Key{Part: holdPartition, Sort: p.String()} }
 
-// Load applies the verdicts stored in the table and sends them to the neighbours. It reports
+// LoadVerdicts applies the verdicts stored in the table and sends them to the neighbours. It reports
 // whether the table could be read. Expired verdicts are deleted.
-func (h *Holds) Load(ctx context.Context) bool {
+func (h *Holds) LoadVerdicts(ctx context.Context) bool {
 	if h.share.Table == nil {
 		return true
 	}
