--- a/entry/suspension.go
+++ b/entry/suspension.go
@@ -28,6 +28,6 @@
 	listed, _ := d.runners.fresh.Age(now)
 	d.log.WithFields(logrus.Fields{
 		"part": "process", "slept_ms": slept.Milliseconds(), "catalog_age_ms": age.Milliseconds(), "endpoints_age_ms": listed.Milliseconds(),
-		"requests_ended": d.Server.Woke(now),
+		"requests_ended": d.Server.CancelOverdue(now),
 	}).Warn("the box was suspended and has woken")
 }
--- a/request/activeruns.go
+++ b/request/activeruns.go
@@ -30,8 +30,8 @@
 	}
 }
 
-// Woke cancels the requests whose time expired while the box was suspended, and returns their number.
-func (s *Server) Woke(now time.Time) (ended int) {
+// CancelOverdue cancels the requests whose time expired while the box was suspended, and returns their number.
+func (s *Server) CancelOverdue(now time.Time) (ended int) {
 	s.active.mu.Lock()
 	defer s.active.mu.Unlock()
 	for r, end := range s.active.cancels {
