--- a/request/permit.go
+++ b/request/permit.go
@@ -36,7 +36,7 @@
 	now := r.Now()
 	if !g.OK {
 		s.refuse(now, g)
-		if l := r.line(now, logrus.InfoLevel); l != nil {
+		if l := r.logEntry(now, logrus.InfoLevel); l != nil {
 			l.WithFields(logrus.Fields{"endpoint": c.Target.ID, "per_second": c.Target.Limit().PerSecond, "wait_ms": g.Wait.Milliseconds()}).
 				Info("endpoint skipped: at its rate limit")
 		}
--- a/request/requestlog.go
+++ b/request/requestlog.go
@@ -20,8 +20,8 @@
 	}
 }
 
-// line returns a log entry for the request, or nil if the level is disabled.
-func (r *run) line(now time.Time, level logrus.Level) *logrus.Entry {
+// logEntry returns a log entry for the request, or nil if the level is disabled.
+func (r *run) logEntry(now time.Time, level logrus.Level) *logrus.Entry {
 	if !r.log.Logger.IsLevelEnabled(level) {
 		return nil
 	}
@@ -30,7 +30,7 @@
 
 // logChoice logs the chosen endpoint and the reason for the choice.
 func (r *run) logChoice(now time.Time, c Choice) {
-	l := r.line(now, logrus.InfoLevel)
+	l := r.logEntry(now, logrus.InfoLevel)
 	if l == nil {
 		return
 	}
@@ -53,7 +53,7 @@
 
 // logAttempt logs an attempt that did not complete the request.
 func (r *run) logAttempt(now time.Time, t *Target, e Ending, v Verdict, failure error) {
-	if l := r.line(now, logrus.InfoLevel); l != nil {
+	if l := r.logEntry(now, logrus.InfoLevel); l != nil {
 		l.WithFields(logrus.Fields{
 			"endpoint": t.ID, "ending": e.String(), "then": v.Action.String(), "may_have_run": r.life.MayHaveRun, "tokens": r.answer.tokenCount(),
 			"endpoint_closed": conn.EndpointClosed(failure), "ends_before": r.Holds.Ledger.Suspected(r.print),
@@ -67,7 +67,7 @@
 	if err != nil && err.Code.Ran() != code.NotRun {
 		level = logrus.WarnLevel
 	}
-	l := r.line(now, level)
+	l := r.logEntry(now, level)
 	switch {
 	case l == nil:
 	case err == nil:
