--- a/request/backlog.go
+++ b/request/backlog.go
@@ -199,7 +199,7 @@
 		s.Total += p.Tokens
 	}
 	m := t.backlog.Add(now, s.Fresh, s.Total, s.Parts)
-	t.places.Delay(t.holds.beside(m.own))
+	t.places.Delay(t.holds.prefillDelay(m.own))
 	return m, s
 }
 
@@ -218,7 +218,7 @@
 	for _, k := range w.All() {
 		if t := k.Pool.snapshot().byHash[s.Endpoint]; t != nil {
 			m := t.backlog.Add(now, s.Fresh, s.Total, s.Parts)
-			t.places.Delay(t.holds.beside(m.own))
+			t.places.Delay(t.holds.prefillDelay(m.own))
 			if w.opts.Without.On(mechanism.EnginePlaces) {
 				t.places.Occupy(now, now.Add(t.backlog.Left(now)), k.Pool.holds.of(s.Out), t.slotsForOthers(w.opts.Without))
 			}
--- a/request/slottime.go
+++ b/request/slottime.go
@@ -73,8 +73,8 @@
 	return time.Duration(token * float64(tokens) * float64(time.Second))
 }
 
-// beside returns the predicted delay of running answers caused by a given prefill time.
-func (h *holdTime) beside(read time.Duration) time.Duration {
+// prefillDelay returns the predicted delay of running answers caused by a given prefill time.
+func (h *holdTime) prefillDelay(read time.Duration) time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	_, part := h.solve()
