--- a/request/backlog.go
+++ b/request/backlog.go
@@ -220,7 +220,7 @@
 			m := t.backlog.Add(now, s.Fresh, s.Total, s.Parts)
 			t.places.Delay(t.holds.prefillDelay(m.own))
 			if w.opts.Without.On(mechanism.EnginePlaces) {
-				t.places.Occupy(now, now.Add(t.backlog.Left(now)), k.Pool.holds.of(s.Out), t.slotsForOthers(w.opts.Without))
+				t.places.Occupy(now, now.Add(t.backlog.Left(now)), k.Pool.holds.predict(s.Out), t.slotsForOthers(w.opts.Without))
 			}
 			return
 		}
--- a/request/slottime.go
+++ b/request/slottime.go
@@ -64,9 +64,9 @@
 	return math.Max((w-h.r*beside)/t, initialTokenTime.Seconds()/20), beside
 }
 
-// of returns the predicted time for which an answer of so many expected tokens holds its slot,
+// predict returns the predicted time for which an answer of so many expected tokens holds its slot,
 // without prefill of other prompts.
-func (h *holdTime) of(tokens int) time.Duration {
+func (h *holdTime) predict(tokens int) time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	token, _ := h.solve()
--- a/request/trial.go
+++ b/request/trial.go
@@ -129,7 +129,7 @@
 func (r *run) trialAsk() TrialAsk {
 	a := TrialAsk{Service: r.req.Service.Name, Ask: rollout.Ask{Route: r.req.Route.Name}}
 	if r.req.IsModel() {
-		a.Expect = r.work.Pool.holds.of(r.req.expectOut())
+		a.Expect = r.work.Pool.holds.predict(r.req.expectOut())
 	} else {
 		a.Expect = r.work.Speed.Pace(true)
 	}
