--- a/request/pool.go
+++ b/request/pool.go
@@ -37,7 +37,7 @@
 
 	hits  hitMemory
 	cost  PrefillCost
-	holds holdTime
+	holds slotTimeModel
 
 	retrySchedule retrySchedule // retry times given to callers refused at the endpoints' rate limits
 	lastDelaying  atomic.Int64  // when a prompt that delays other streams was last routed, in Unix nanoseconds
--- a/request/slottime.go
+++ b/request/slottime.go
@@ -24,12 +24,12 @@
 	priorSlotTokens, priorPrefillSquared = 300, 1
 )
 
-// holdTime estimates how long an answer holds its slot at an engine: a time per expected token plus
+// slotTimeModel estimates how long an answer holds its slot at an engine: a time per expected token plus
 // a share of the time in which the engine prefills other prompts meanwhile. Callers' estimates of
 // an answer's length are far off, so the model is fitted to sums over answers, not to single ones.
 // Without the second term, 45 engines were predicted to start an answer within 190 ms that took
 // 750 ms: they prefilled all the time, which made running answers many times slower.
-type holdTime struct {
+type slotTimeModel struct {
 	mu         sync.Mutex
 	t, r, w    float64 // decayed sums of tokens, of prefill and of holding times (seconds)
 	rt, rr, rw float64 // and of their products with the prefill time
@@ -37,7 +37,7 @@
 
 // observe adds an observation: the expected tokens of an answer, the time from its first event to
 // its last, and the engine's prefill time meanwhile.
-func (h *holdTime) observe(tokens int, took, read time.Duration) {
+func (h *slotTimeModel) observe(tokens int, took, read time.Duration) {
 	if tokens <= 0 {
 		return
 	}
@@ -56,7 +56,7 @@
 }
 
 // solve fits the seconds per token and the share of prefill time to the sums. The caller holds mu.
-func (h *holdTime) solve() (token, beside float64) {
+func (h *slotTimeModel) solve() (token, beside float64) {
 	t, w := h.t+priorSlotTokens, h.w+priorSlotTokens*initialTokenTime.Seconds()
 	up := h.rw - h.rt*w/t + priorPrefillSquared*initialPrefillShare
 	down := h.rr - h.rt*h.r/t + priorPrefillSquared
@@ -66,7 +66,7 @@
 
 // predict returns the predicted time for which an answer of so many expected tokens holds its slot,
 // without prefill of other prompts.
-func (h *holdTime) predict(tokens int) time.Duration {
+func (h *slotTimeModel) predict(tokens int) time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	token, _ := h.solve()
@@ -74,7 +74,7 @@
 }
 
 // prefillDelay returns the predicted delay of running answers caused by a given prefill time.
-func (h *holdTime) prefillDelay(read time.Duration) time.Duration {
+func (h *slotTimeModel) prefillDelay(read time.Duration) time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	_, part := h.solve()
--- a/request/target.go
+++ b/request/target.go
@@ -68,13 +68,13 @@
 	ramp         atomic.Uint32 // share of the load bound allowed after an ejection, as float bits
 	advertised   *advertisedState
 	backlog      *Backlog
-	holds        *holdTime     // of the service
-	places       SlotUsage     // slots used by other daemons
-	hasCompleted atomic.Bool   // it has completed a request of this daemon
-	superseded   atomic.Bool   // the endpoint has restarted since
-	role         atomic.Int32  // rollout.Role of its version
-	resting      atomic.Bool   // canary instance without traffic, as others suffice for the evaluation
-	sentDecayed  atomic.Uint32 // decaying count of requests sent by this daemon, as float bits
+	holds        *slotTimeModel // of the service
+	places       SlotUsage      // slots used by other daemons
+	hasCompleted atomic.Bool    // it has completed a request of this daemon
+	superseded   atomic.Bool    // the endpoint has restarted since
+	role         atomic.Int32   // rollout.Role of its version
+	resting      atomic.Bool    // canary instance without traffic, as others suffice for the evaluation
+	sentDecayed  atomic.Uint32  // decaying count of requests sent by this daemon, as float bits
 
 	mu              sync.Mutex
 	class           Class
@@ -102,7 +102,7 @@
 )
 
 // newTarget returns the view of an endpoint without any report.
-func newTarget(e Endpoint, batch int, cost *PrefillCost, holds *holdTime, s *advertisedState) *Target {
+func newTarget(e Endpoint, batch int, cost *PrefillCost, holds *slotTimeModel, s *advertisedState) *Target {
 	if e.Slots > 0 {
 		batch = e.Slots
 	}
