--- a/request/placement_test.go
+++ b/request/placement_test.go
@@ -286,7 +286,7 @@
 		return
 	}
 	j.target.End(nil)
-	p.daemons[j.daemon].Works.All()[0].Pool.Held(j.guess, now.Sub(j.began), j.target.PrefillDone(now)-j.read)
+	p.daemons[j.daemon].Works.All()[0].Pool.RecordSlotTime(j.guess, now.Sub(j.began), j.target.PrefillDone(now)-j.read)
 	delete(e.running, j)
 	p.count(j)
 	p.begin(now, e)
--- a/request/relay.go
+++ b/request/relay.go
@@ -328,7 +328,7 @@
 			if r.startedAttempts == 0 {
 				r.work.Pool.cost.LearnEvents(x.Guess, count)
 				now := r.Now()
-				r.work.Pool.Held(x.OutTokens, now.Sub(r.started)-r.first, c.Target.PrefillDone(now)-readBefore)
+				r.work.Pool.RecordSlotTime(x.OutTokens, now.Sub(r.started)-r.first, c.Target.PrefillDone(now)-readBefore)
 			}
 			return EndedComplete, nil
 		}
--- a/request/slottime.go
+++ b/request/slottime.go
@@ -81,6 +81,8 @@
 	return time.Duration(part * float64(read))
 }
 
-// Held records how long an answer held its slot at an engine from its first event on, given the
+// RecordSlotTime records how long an answer held its slot at an engine from its first event on, given the
 // expected tokens, and the engine's prefill time meanwhile.
-func (p *Pool) Held(tokens int, took, read time.Duration) { p.holds.observe(tokens, took, read) }
+func (p *Pool) RecordSlotTime(tokens int, took, read time.Duration) {
+	p.holds.observe(tokens, took, read)
+}
