--- a/entry/rollouts.go
+++ b/entry/rollouts.go
@@ -85,7 +85,7 @@
 }
 
 // Take implements request.Trials.
-func (k *rolloutController) Take(now time.Time, a request.TrialAsk) bool {
+func (k *rolloutController) Take(now time.Time, a request.TrialRequest) bool {
 	if k.active.Load() == 0 {
 		return false
 	}
@@ -96,7 +96,7 @@
 }
 
 // Return implements request.Trials.
-func (k *rolloutController) Return(a request.TrialAsk) {
+func (k *rolloutController) Return(a request.TrialRequest) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if v := k.services[a.Service]; v != nil && v.bucket != nil {
@@ -105,7 +105,7 @@
 }
 
 // Unsent implements request.Trials.
-func (k *rolloutController) Unsent(a request.TrialAsk) {
+func (k *rolloutController) Unsent(a request.TrialRequest) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if v := k.services[a.Service]; v != nil && v.running() {
--- a/request/trial.go
+++ b/request/trial.go
@@ -15,19 +15,19 @@
 // of these and of the other requests.
 type Trials interface {
 	// Take counts a request and reports whether it goes to the version on trial.
-	Take(now time.Time, a TrialAsk) bool
+	Take(now time.Time, a TrialRequest) bool
 	// Return reverts a true result of Take for which no endpoint was available.
-	Return(a TrialAsk)
+	Return(a TrialRequest)
 	// Unsent reverts the count of a request that was not sent.
-	Unsent(a TrialAsk)
+	Unsent(a TrialRequest)
 	// Still reports whether a request may still go to the version on trial.
 	Still(now time.Time, service string) bool
 	// Note records the outcome of an attempt.
 	Note(now time.Time, a TrialAnswer)
 }
 
-// TrialAsk describes a request before its first attempt.
-type TrialAsk struct {
+// TrialRequest describes a request before its first attempt.
+type TrialRequest struct {
 	Service string // name of the service
 	rollout.Ask
 }
@@ -126,8 +126,8 @@
 }
 
 // trialAsk describes this request for Trials.
-func (r *run) trialAsk() TrialAsk {
-	a := TrialAsk{Service: r.req.Service.Name, Ask: rollout.Ask{Route: r.req.Route.Name}}
+func (r *run) trialAsk() TrialRequest {
+	a := TrialRequest{Service: r.req.Service.Name, Ask: rollout.Ask{Route: r.req.Route.Name}}
 	if r.req.IsModel() {
 		a.Expect = r.work.Pool.holds.predict(r.req.expectOut())
 	} else {
