--- a/entry/rolloutlatency.go
+++ b/entry/rolloutlatency.go
@@ -32,7 +32,7 @@
 
 // slow reports whether an answer took longer than slowFactor the route's baseline, and updates the
 // baseline with answers of the old version.
-func (v *serviceVersions) slow(a request.TrialAnswer, isNew bool) bool {
+func (v *serviceVersions) slow(a request.TrialOutcome, isNew bool) bool {
 	if v.baselines == nil {
 		v.baselines = make(map[string]*latencyBaseline)
 	}
--- a/entry/rollouts.go
+++ b/entry/rollouts.go
@@ -129,7 +129,7 @@
 }
 
 // Note implements request.Trials.
-func (k *rolloutController) Note(now time.Time, a request.TrialAnswer) {
+func (k *rolloutController) Note(now time.Time, a request.TrialOutcome) {
 	if k.active.Load() == 0 {
 		return
 	}
--- a/request/trial.go
+++ b/request/trial.go
@@ -23,7 +23,7 @@
 	// Still reports whether a request may still go to the version on trial.
 	Still(now time.Time, service string) bool
 	// Note records the outcome of an attempt.
-	Note(now time.Time, a TrialAnswer)
+	Note(now time.Time, a TrialOutcome)
 }
 
 // TrialRequest describes a request before its first attempt.
@@ -32,8 +32,8 @@
 	rollout.Ask
 }
 
-// TrialAnswer is the outcome of an attempt, as evidence about the endpoint's version.
-type TrialAnswer struct {
+// TrialOutcome is the outcome of an attempt, as evidence about the endpoint's version.
+type TrialOutcome struct {
 	Service  string
 	Route    string
 	Endpoint string
@@ -188,7 +188,7 @@
 	if r.opts.Trials == nil || r.req.Relay == nil || r.started.Before(t.SlowUntil) {
 		return
 	}
-	a := TrialAnswer{
+	a := TrialOutcome{
 		Service: r.req.Service.Name, Route: r.req.Route.Name, Endpoint: t.ID, Version: t.Version,
 		Took: now.Sub(r.started), First: r.first, Expected: r.expected, Events: r.events,
 	}
