--- a/entry/rollouts.go
+++ b/entry/rollouts.go
@@ -226,7 +226,7 @@
 	}
 	k.active.Store(running)
 	pool := k.d.work(service).Pool
-	pool.Rule(v.standing(), v.activeEndpoints(pool))
+	pool.SetRoles(v.standing(), v.activeEndpoints(pool))
 }
 
 // activeEndpoints returns how many endpoints of a version on trial take requests, or 0 for all. With
--- a/request/trial.go
+++ b/request/trial.go
@@ -49,10 +49,10 @@
 // errBarred is the error of an attempt whose endpoint's version may no longer get requests.
 var errBarred = errors.New("request: version of the endpoint may not get requests")
 
-// Rule sets the roles of all endpoints according to the standing of a service's versions. Of the
+// SetRoles sets the roles of all endpoints according to the standing of a service's versions. Of the
 // endpoints on trial only the first most take requests (all if most is 0), in an order that is the
 // same in all daemons, so that each of them gets as much load as one of the old version.
-func (p *Pool) Rule(s rollout.VersionPolicy, most int) {
+func (p *Pool) SetRoles(s rollout.VersionPolicy, most int) {
 	p.mu.Lock()
 	p.standing = s
 	p.mu.Unlock()
