--- a/entry/rollouts.go
+++ b/entry/rollouts.go
@@ -113,8 +113,8 @@
 	}
 }
 
-// Still implements request.Trials.
-func (k *rolloutController) Still(now time.Time, service string) bool {
+// Allows implements request.Trials.
+func (k *rolloutController) Allows(now time.Time, service string) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	v := k.services[service]
--- a/request/trial.go
+++ b/request/trial.go
@@ -20,8 +20,8 @@
 	Return(a TrialRequest)
 	// Unsent reverts the count of a request that was not sent.
 	Unsent(a TrialRequest)
-	// Still reports whether a request may still go to the version on trial.
-	Still(now time.Time, service string) bool
+	// Allows reports whether a request may still go to the version on trial.
+	Allows(now time.Time, service string) bool
 	// Note records the outcome of an attempt.
 	Note(now time.Time, a TrialOutcome)
 }
@@ -177,7 +177,7 @@
 	case rollout.Own:
 		return false
 	case rollout.Trial:
-		return r.opts.Trials == nil || !r.opts.Trials.Still(now, r.req.Service.Name)
+		return r.opts.Trials == nil || !r.opts.Trials.Allows(now, r.req.Service.Name)
 	}
 	return true
 }
