--- a/entry/rollouts.go
+++ b/entry/rollouts.go
@@ -104,8 +104,8 @@
 	}
 }
 
-// Unsent implements request.Trials.
-func (k *rolloutController) Unsent(a request.TrialRequest) {
+// Uncount implements request.Trials.
+func (k *rolloutController) Uncount(a request.TrialRequest) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if v := k.services[a.Service]; v != nil && v.running() {
--- a/request/trial.go
+++ b/request/trial.go
@@ -18,8 +18,8 @@
 	Take(now time.Time, a TrialRequest) bool
 	// Return reverts a true result of Take for which no endpoint was available.
 	Return(a TrialRequest)
-	// Unsent reverts the count of a request that was not sent.
-	Unsent(a TrialRequest)
+	// Uncount reverts the count of a request that was not sent.
+	Uncount(a TrialRequest)
 	// Allows reports whether a request may still go to the version on trial.
 	Allows(now time.Time, service string) bool
 	// Note records the outcome of an attempt.
@@ -167,7 +167,7 @@
 // uncountTrial reverts the count of a request that is refused without having been sent.
 func (r *run) uncountTrial() {
 	if r.trialDecided && r.attempts == 0 {
-		r.opts.Trials.Unsent(r.trialAsk())
+		r.opts.Trials.Uncount(r.trialAsk())
 	}
 }
 
