--- a/entry/rollouts.go
+++ b/entry/rollouts.go
@@ -128,8 +128,8 @@
 	return f.Counted && f.Known < 2 || now.Sub(k.lastReport) < maxReportAge
 }
 
-// Note implements request.Trials.
-func (k *rolloutController) Note(now time.Time, a request.TrialOutcome) {
+// RecordOutcome implements request.Trials.
+func (k *rolloutController) RecordOutcome(now time.Time, a request.TrialOutcome) {
 	if k.active.Load() == 0 {
 		return
 	}
--- a/request/trial.go
+++ b/request/trial.go
@@ -22,8 +22,8 @@
 	Uncount(a TrialRequest)
 	// Allows reports whether a request may still go to the version on trial.
 	Allows(now time.Time, service string) bool
-	// Note records the outcome of an attempt.
-	Note(now time.Time, a TrialOutcome)
+	// RecordOutcome records the outcome of an attempt.
+	RecordOutcome(now time.Time, a TrialOutcome)
 }
 
 // TrialRequest describes a request before its first attempt.
@@ -203,5 +203,5 @@
 	default:
 		return
 	}
-	r.opts.Trials.Note(now, a)
+	r.opts.Trials.RecordOutcome(now, a)
 }
