--- a/process/peers.go
+++ b/process/peers.go
@@ -152,8 +152,8 @@
 // maxAsked is the maximum number of daemons asked about one claim.
 const maxAsked = 16
 
-// AnyoneRan implements request.Peers. Daemons that have crashed are not covered.
-func (p peerAsker) AnyoneRan(ctx context.Context, name string) bool {
+// AnyRan implements request.Peers. Daemons that have crashed are not covered.
+func (p peerAsker) AnyRan(ctx context.Context, name string) bool {
 	ctx, cancel := context.WithTimeout(ctx, askTimeout)
 	defer cancel()
 	members := p.d.Hub.Mesh.Members()
--- a/request/server.go
+++ b/request/server.go
@@ -32,9 +32,9 @@
 type Peers interface {
 	// AskClaim asks the holder of a claim for its state.
 	AskClaim(ctx context.Context, holder, name string) HolderState
-	// AnyoneRan reports whether any daemon has sent the request of a claim. It is
+	// AnyRan reports whether any daemon has sent the request of a claim. It is
 	// used while the table is unavailable.
-	AnyoneRan(ctx context.Context, name string) bool
+	AnyRan(ctx context.Context, name string) bool
 	// RecentStop reports whether a daemon recently shut down as planned, so that
 	// an answer may have been handed over.
 	RecentStop(now time.Time) bool
@@ -329,7 +329,7 @@
 // resolveClaim acts on the outcome of a claim and reports whether the request has ended.
 func (r *run) resolveClaim(ctx context.Context, c Claim, body uint64) bool {
 	switch {
-	case c.State == ClaimDown && (r.Claims.mayHaveSent(c.key.Sort) || r.Peers.AnyoneRan(ctx, c.key.Sort)):
+	case c.State == ClaimDown && (r.Claims.mayHaveSent(c.key.Sort) || r.Peers.AnyRan(ctx, c.key.Sort)):
 		r.end(ctx, code.New(code.UnknownOutcome, "it was sent before, and the table is unavailable").After(2*time.Second))
 	case c.State == ClaimDown:
 		r.refuse(code.New(code.ClaimStore, "the table is unavailable").After(2 * time.Second))
--- a/request/server_test.go
+++ b/request/server_test.go
@@ -95,8 +95,8 @@
 	return request.HolderUnknown
 }
 
-// AnyoneRan implements request.Peers.
-func (o *testCluster) AnyoneRan(_ context.Context, name string) bool {
+// AnyRan implements request.Peers.
+func (o *testCluster) AnyRan(_ context.Context, name string) bool {
 	for _, s := range o.servers {
 		if st := s.AnswerClaim(name); st == request.HolderRan || st == request.HolderRunning {
 			return true
