--- a/request/attempt.go
+++ b/request/attempt.go
@@ -19,8 +19,8 @@
 	"streambend.example/mechanism"
 )
 
-// routeWait is the interval at which a request without an endpoint retries routing.
-const routeWait = 50 * time.Millisecond
+// routeRetryInterval is the interval at which a request without an endpoint retries routing.
+const routeRetryInterval = 50 * time.Millisecond
 
 // resumeRouteWait is how long a request that has been started waits for an endpoint to continue at,
 // instead of RouteWait. An endpoint is ejected for one second after failures and callers tolerate a
@@ -92,7 +92,7 @@
 			r.returnTrial(c)
 			continue // routing skips the endpoint until its rate limit allows the next request
 		}
-		pause := routeWait
+		pause := routeRetryInterval
 		if listed {
 			var err *code.Error
 			if pause, err = r.atLimits(now, r.need(now)); err != nil {
--- a/request/permit.go
+++ b/request/permit.go
@@ -54,11 +54,11 @@
 func (r *run) atLimits(now time.Time, n Need) (wait time.Duration, err *code.Error) {
 	at, gap, ok := r.work.Pool.FreeAt(now, n)
 	if !ok {
-		return routeWait, nil
+		return routeRetryInterval, nil
 	}
 	wait = max(at.Sub(now), time.Millisecond)
-	if wait <= routeWait || r.life.MayHaveRun {
-		return min(wait, routeWait), nil
+	if wait <= routeRetryInterval || r.life.MayHaveRun {
+		return min(wait, routeRetryInterval), nil
 	}
 	back := r.work.Pool.retrySchedule.next(now, at, gap).Sub(now)
 	return 0, code.New(code.AtLimits, "no endpoint of %s accepts more requests for %s, as advertised", r.work.Pool.Service, wait.Round(time.Millisecond)).After(back)
