--- a/entry/ingress.go
+++ b/entry/ingress.go
@@ -241,7 +241,7 @@
 		Host:  r.Host, Streaming: o.route.Streaming, Attempts: o.route.Attempts,
 		Prefix: prefixID(o.call.Parts), PromptTokens: o.call.In, OutTokens: expectedTokens(o.call), Guess: o.call.Hint,
 		Pause: o.route.Pause, WaitLimit: c.WaitLimit(o.route, name), Parts: parts(o.call.Parts),
-		Begun:    func(at time.Time) { s.d.begun(team, at) },
+		OnStart:  func(at time.Time) { s.d.begun(team, at) },
 		Measured: s.d.meters.measured,
 	}
 	return req
--- a/request/relay.go
+++ b/request/relay.go
@@ -64,7 +64,7 @@
 	Pause        time.Duration                       // longest pause in a stream that counts as in time; 0 if not known
 	Parts        []Part                              // parts of the prompt, in order
 	WaitLimit    time.Duration                       // maximum wait until an engine starts its prefill; 0 for no limit
-	Begun        func(now time.Time)                 // called when an endpoint has started it; may be nil
+	OnStart      func(now time.Time)                 // called when an endpoint has started it; may be nil
 	Measured     func(first, expected time.Duration) // called with an attempt's time to its first event; may be nil
 
 	headWritten   bool  // the answer's head has been written to the caller
@@ -96,8 +96,8 @@
 
 // recordStart records that an endpoint has started the request; only the first call invokes Begun.
 func (x *Relay) recordStart(now time.Time) {
-	if !x.startRecorded && x.Begun != nil {
-		x.Begun(now)
+	if !x.startRecorded && x.OnStart != nil {
+		x.OnStart(now)
 	}
 	x.startRecorded = true
 }
