--- a/entry/ingress.go
+++ b/entry/ingress.go
@@ -241,8 +241,8 @@
 		Host:  r.Host, Streaming: o.route.Streaming, Attempts: o.route.Attempts,
 		Prefix: prefixID(o.call.Parts), PromptTokens: o.call.In, OutTokens: expectedTokens(o.call), Guess: o.call.Hint,
 		Pause: o.route.Pause, WaitLimit: c.WaitLimit(o.route, name), Parts: parts(o.call.Parts),
-		OnStart:  func(at time.Time) { s.d.begun(team, at) },
-		Measured: s.d.meters.measured,
+		OnStart:      func(at time.Time) { s.d.begun(team, at) },
+		OnFirstEvent: s.d.meters.measured,
 	}
 	return req
 }
--- a/request/relay.go
+++ b/request/relay.go
@@ -65,7 +65,7 @@
 	Parts        []Part                              // parts of the prompt, in order
 	WaitLimit    time.Duration                       // maximum wait until an engine starts its prefill; 0 for no limit
 	OnStart      func(now time.Time)                 // called when an endpoint has started it; may be nil
-	Measured     func(first, expected time.Duration) // called with an attempt's time to its first event; may be nil
+	OnFirstEvent func(first, expected time.Duration) // called with an attempt's time to its first event; may be nil
 
 	headWritten   bool  // the answer's head has been written to the caller
 	lastEvent     int64 // id of the last event written to the caller
@@ -341,8 +341,8 @@
 			first = false
 			now := r.Now()
 			r.first = now.Sub(r.started)
-			if x.Measured != nil {
-				x.Measured(r.first, r.expected)
+			if x.OnFirstEvent != nil {
+				x.OnFirstEvent(r.first, r.expected)
 			}
 			x.recordStart(now)
 			r.life.apply(eventStream)
