--- a/request/relay.go
+++ b/request/relay.go
@@ -52,20 +52,20 @@
 // Relay is a request whose answer is forwarded as it arrives, without parsing its
 // content.
 type Relay struct {
-	Codec        Codec
-	Out          http.ResponseWriter
-	Host         string // Host header as the caller sent it
-	Streaming    bool   // the answer is a stream of events
-	Attempts     int    // maximum number of attempts that may run
-	Prefix       uint64 // hash of the shared prefix of the prompt; 0 for none
-	PromptTokens int
-	OutTokens    int                                 // expected tokens of the answer
-	Guess        int                                 // the caller's estimate of OutTokens; 0 for none
-	Pause        time.Duration                       // longest pause in a stream that counts as in time; 0 if not known
-	Parts        []Part                              // parts of the prompt, in order
-	WaitLimit    time.Duration                       // maximum wait until an engine starts its prefill; 0 for no limit
-	OnStart      func(now time.Time)                 // called when an endpoint has started it; may be nil
-	OnFirstEvent func(first, expected time.Duration) // called with an attempt's time to its first event; may be nil
+	Codec          Codec
+	Out            http.ResponseWriter
+	Host           string // Host header as the caller sent it
+	Streaming      bool   // the answer is a stream of events
+	Attempts       int    // maximum number of attempts that may run
+	Prefix         uint64 // hash of the shared prefix of the prompt; 0 for none
+	PromptTokens   int
+	OutTokens      int                                 // expected tokens of the answer
+	CallerEstimate int                                 // the caller's estimate of OutTokens; 0 for none
+	Pause          time.Duration                       // longest pause in a stream that counts as in time; 0 if not known
+	Parts          []Part                              // parts of the prompt, in order
+	WaitLimit      time.Duration                       // maximum wait until an engine starts its prefill; 0 for no limit
+	OnStart        func(now time.Time)                 // called when an endpoint has started it; may be nil
+	OnFirstEvent   func(first, expected time.Duration) // called with an attempt's time to its first event; may be nil
 
 	headWritten   bool  // the answer's head has been written to the caller
 	lastEvent     int64 // id of the last event written to the caller
@@ -326,7 +326,7 @@
 			}
 			r.succeeded = count > 0
 			if r.startedAttempts == 0 {
-				r.work.Pool.cost.LearnEvents(x.Guess, count)
+				r.work.Pool.cost.LearnEvents(x.CallerEstimate, count)
 				now := r.Now()
 				r.work.Pool.RecordSlotTime(x.OutTokens, now.Sub(r.started)-r.first, c.Target.PrefillDone(now)-readBefore)
 			}
