--- a/entry/rollouts.go
+++ b/entry/rollouts.go
@@ -95,8 +95,8 @@
 	return v != nil && v.running() && v.bucket.Take(now, v.span(), a.Ask) && k.current(now)
 }
 
-// Return implements request.Trials.
-func (k *rolloutController) Return(a request.TrialRequest) {
+// Unassign implements request.Trials.
+func (k *rolloutController) Unassign(a request.TrialRequest) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if v := k.services[a.Service]; v != nil && v.bucket != nil {
--- a/request/trial.go
+++ b/request/trial.go
@@ -16,8 +16,8 @@
 type Trials interface {
 	// Take counts a request and reports whether it goes to the version on trial.
 	Take(now time.Time, a TrialRequest) bool
-	// Return reverts a true result of Take for which no endpoint was available.
-	Return(a TrialRequest)
+	// Unassign reverts a true result of Take for which no endpoint was available.
+	Unassign(a TrialRequest)
 	// Uncount reverts the count of a request that was not sent.
 	Uncount(a TrialRequest)
 	// Allows reports whether a request may still go to the version on trial.
@@ -152,7 +152,7 @@
 	if ok && r.overloaded(c) == nil {
 		return c, true
 	}
-	r.opts.Trials.Return(ask)
+	r.opts.Trials.Unassign(ask)
 	return c, false
 }
 
@@ -160,7 +160,7 @@
 // not be sent the request, which then goes to the service's own version.
 func (r *run) returnTrial(c Choice) {
 	if r.opts.Trials != nil && c.Target.Role() == rollout.Trial {
-		r.opts.Trials.Return(r.trialAsk())
+		r.opts.Trials.Unassign(r.trialAsk())
 	}
 }
 
