--- a/entry/rollouts.go
+++ b/entry/rollouts.go
@@ -84,8 +84,8 @@
 	return v
 }
 
-// Take implements request.Trials.
-func (k *rolloutController) Take(now time.Time, a request.TrialRequest) bool {
+// Assign implements request.Trials.
+func (k *rolloutController) Assign(now time.Time, a request.TrialRequest) bool {
 	if k.active.Load() == 0 {
 		return false
 	}
--- a/request/trial.go
+++ b/request/trial.go
@@ -14,8 +14,8 @@
 // Trials decides which requests go to a version that is being rolled out, and records the outcomes
 // of these and of the other requests.
 type Trials interface {
-	// Take counts a request and reports whether it goes to the version on trial.
-	Take(now time.Time, a TrialRequest) bool
+	// Assign counts a request and reports whether it goes to the version on trial.
+	Assign(now time.Time, a TrialRequest) bool
 	// Unassign reverts a true result of Take for which no endpoint was available.
 	Unassign(a TrialRequest)
 	// Uncount reverts the count of a request that was not sent.
@@ -144,7 +144,7 @@
 	}
 	r.trialDecided = true
 	ask := r.trialAsk()
-	if !r.opts.Trials.Take(now, ask) {
+	if !r.opts.Trials.Assign(now, ask) {
 		return c, false
 	}
 	n.Trial = true
