--- a/conn/hub.go
+++ b/conn/hub.go
@@ -117,8 +117,8 @@
 	return t
 }
 
-// Tell broadcasts a payload to all daemons.
-func (h *Hub) Tell(p Payload) { h.send(h.Mesh.Tell(p)) }
+// Broadcast broadcasts a payload to all daemons.
+func (h *Hub) Broadcast(p Payload) { h.send(h.Mesh.Tell(p)) }
 
 // Give sends a payload to one neighbour.
 func (h *Hub) Give(name string, p Payload) { h.send([]Send{h.Mesh.Give(name, p)}) }
--- a/entry/duties.go
+++ b/entry/duties.go
@@ -221,7 +221,7 @@
 	x.lease.Drop()
 	x.held = false
 	x.d.log.WithFields(logrus.Fields{"part": "duties", "epoch": epoch}).Warn("lease given up: the store does not answer")
-	x.d.Hub.Tell(conn.Payload{Freed: epoch})
+	x.d.Hub.Broadcast(conn.Payload{Freed: epoch})
 }
 
 // daemonOf returns the daemon name in an instance name.
--- a/entry/rolloutreports.go
+++ b/entry/rolloutreports.go
@@ -54,7 +54,7 @@
 // broadcast sends the progress of an order to all daemons.
 func (k *rolloutController) broadcast(service string, o rollout.Order, heard time.Time, f rollout.OrderState) {
 	o.Service = service
-	k.d.Hub.Tell(conn.Payload{Orders: conn.Marshal([]orderReport{{Order: o, Age: clock.Now().Sub(heard), Fact: f}})})
+	k.d.Hub.Broadcast(conn.Payload{Orders: conn.Marshal([]orderReport{{Order: o, Age: clock.Now().Sub(heard), Fact: f}})})
 }
 
 // receive decodes and applies the reports of another daemon.
--- a/process/crashes.go
+++ b/process/crashes.go
@@ -28,10 +28,10 @@
 	ends := rate.NewLimiter(failureBroadcastRate, failureBroadcastBurst)
 	return request.HoldTransport{
 		Table:     d.tables.claim,
-		Broadcast: func(p conn.Payload) { d.Hub.Tell(p) },
+		Broadcast: func(p conn.Payload) { d.Hub.Broadcast(p) },
 		ReportEnd: func(p conn.Payload) {
 			if ends.AllowN(time.Now(), 1) {
-				d.Hub.Tell(p)
+				d.Hub.Broadcast(p)
 			}
 		},
 		SendNeighbours: func(p conn.Payload) {
--- a/process/fleet.go
+++ b/process/fleet.go
@@ -139,7 +139,7 @@
 // reportNotices processes notices detected by this daemon and broadcasts the new ones.
 func (f *fleet) reportNotices(now time.Time, ns ...conn.Notice) {
 	if fresh := f.recordNotices(now, ns); len(fresh) > 0 {
-		f.d.Hub.Tell(conn.Payload{Notices: fresh})
+		f.d.Hub.Broadcast(conn.Payload{Notices: fresh})
 	}
 }
 
@@ -239,7 +239,7 @@
 	}
 	wg.Wait()
 	if len(changed) > 0 {
-		f.d.Hub.Tell(conn.Payload{Loads: changed})
+		f.d.Hub.Broadcast(conn.Payload{Loads: changed})
 	}
 	return f.d.Settings.Timing.Watch.Duration
 }
@@ -346,7 +346,7 @@
 		f.recordDemand(now, f.d.Self.Name, ds)
 		// The empty element keeps the codec from omitting the list when there
 		// is no demand.
-		f.d.Hub.Tell(conn.Payload{Demands: append(ds, conn.Demand{})})
+		f.d.Hub.Broadcast(conn.Payload{Demands: append(ds, conn.Demand{})})
 	}
 	return demandPeriod
 }
--- a/process/operators.go
+++ b/process/operators.go
@@ -183,7 +183,7 @@
 	}
 	c, fresh, err := o.d.config.log.Confirm(ctx, time.Now(), o.d.Config(), o.d.Settings.Pool, p)
 	if o.d.applyEntries(fresh, "confirm") {
-		o.d.Hub.Tell(conn.Payload{Entries: fresh})
+		o.d.Hub.Broadcast(conn.Payload{Entries: fresh})
 	}
 	if err != nil {
 		return nil, o.conflict(ctx, who, p, err)
