--- a/conn/bench_test.go
+++ b/conn/bench_test.go
@@ -58,7 +58,7 @@
 			}
 			size := 0
 			for b.Loop() {
-				out := from.Tell(p)
+				out := from.Broadcast(p)
 				size = len(out[0].Bytes)
 				if more, _, err := to.Receive(start, "from", out[0].Bytes); err != nil || len(more) != 17 {
 					b.Fatal(err, len(more))
--- a/conn/hub.go
+++ b/conn/hub.go
@@ -118,7 +118,7 @@
 }
 
 // Broadcast broadcasts a payload to all daemons.
-func (h *Hub) Broadcast(p Payload) { h.send(h.Mesh.Tell(p)) }
+func (h *Hub) Broadcast(p Payload) { h.send(h.Mesh.Broadcast(p)) }
 
 // Give sends a payload to one neighbour.
 func (h *Hub) Give(name string, p Payload) { h.send([]Send{h.Mesh.Give(name, p)}) }
--- a/conn/mesh.go
+++ b/conn/mesh.go
@@ -253,8 +253,8 @@
 	return out
 }
 
-// Tell broadcasts a payload to all daemons.
-func (m *Mesh) Tell(p Payload) []Send {
+// Broadcast broadcasts a payload to all daemons.
+func (m *Mesh) Broadcast(p Payload) []Send {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.flood(message{Payload: &p}, "")
--- a/conn/mesh_test.go
+++ b/conn/mesh_test.go
@@ -228,7 +228,7 @@
 				told++
 				box := fmt.Sprintf("box-%d", told)
 				from := rapid.SampledFrom(n.names()).Draw(t, "teller")
-				n.deliver(from, n.meshes[from].Tell(conn.Payload{Notices: []conn.Notice{{Box: box}}}))
+				n.deliver(from, n.meshes[from].Broadcast(conn.Payload{Notices: []conn.Notice{{Box: box}}}))
 				for _, name := range n.names() {
 					if got := n.got[name][box]; name != from && got != 1 {
 						t.Fatalf("%s got the notice %d times", name, got)
@@ -253,7 +253,7 @@
 		}
 	}
 	from := n.names()[0]
-	n.deliver(from, n.meshes[from].Tell(conn.Payload{Notices: []conn.Notice{{Box: "at once"}}}))
+	n.deliver(from, n.meshes[from].Broadcast(conn.Payload{Notices: []conn.Notice{{Box: "at once"}}}))
 	for _, name := range n.names() {
 		if name != from {
 			assert.Equal(t, 1, n.got[name]["at once"], name)
@@ -282,7 +282,7 @@
 	perSecond = float64(sum()-before) / 20 / float64(size)
 	before = sum()
 	from := n.names()[0]
-	n.deliver(from, n.meshes[from].Tell(conn.Payload{Notices: []conn.Notice{{Box: "box-0001", Deadline: start}}}))
+	n.deliver(from, n.meshes[from].Broadcast(conn.Payload{Notices: []conn.Notice{{Box: "box-0001", Deadline: start}}}))
 	perNotice = float64(sum()-before) / float64(size)
 	for _, c := range n.meshes {
 		links = max(links, c.Neighbours())
