--- a/conn/hub.go
+++ b/conn/hub.go
@@ -120,8 +120,8 @@
 // Broadcast broadcasts a payload to all daemons.
 func (h *Hub) Broadcast(p Payload) { h.send(h.Mesh.Broadcast(p)) }
 
-// Give sends a payload to one neighbour.
-func (h *Hub) Give(name string, p Payload) { h.send([]Send{h.Mesh.Give(name, p)}) }
+// SendTo sends a payload to one neighbour.
+func (h *Hub) SendTo(name string, p Payload) { h.send([]Send{h.Mesh.Give(name, p)}) }
 
 // Leave announces to all daemons that this one stops as planned. It queues the
 // frames and does not wait until they are sent.
--- a/entry/crashes.go
+++ b/entry/crashes.go
@@ -35,7 +35,7 @@
 	case d.isReader():
 		d.sendToAll(r.Beyond, p)
 	default:
-		d.Hub.Give(r.Reader.Name, p)
+		d.Hub.SendTo(r.Reader.Name, p)
 	}
 }
 
@@ -48,7 +48,7 @@
 
 func (d *Daemon) sendToAll(names []string, p conn.Payload) {
 	for _, name := range names {
-		d.Hub.Give(name, p)
+		d.Hub.SendTo(name, p)
 	}
 }
 
--- a/entry/sentprompts.go
+++ b/entry/sentprompts.go
@@ -128,7 +128,7 @@
 	}
 	b := conn.Marshal(sends)
 	for _, name := range to {
-		d.Hub.Give(name, conn.Payload{Sends: b})
+		d.Hub.SendTo(name, conn.Payload{Sends: b})
 	}
 }
 
--- a/entry/tallyexchange.go
+++ b/entry/tallyexchange.go
@@ -67,7 +67,7 @@
 	if !d.largeFleet() {
 		for _, name := range d.Hub.Mesh.NeighbourNames() {
 			if news := d.tallies.Unsent(name, ScopeAll); len(news) > 0 {
-				d.Hub.Give(name, conn.Payload{Tallies: news})
+				d.Hub.SendTo(name, conn.Payload{Tallies: news})
 			}
 		}
 		return
--- a/process/config.go
+++ b/process/config.go
@@ -227,7 +227,7 @@
 func (d *Daemon) handleDelivery(now time.Time, in conn.Delivery) {
 	p := in.Payload
 	if in.Want > 0 {
-		d.Hub.Give(in.From, d.config.entriesAfter(in.Want-1))
+		d.Hub.SendTo(in.From, d.config.entriesAfter(in.Want-1))
 	}
 	if p.Config != nil && d.config.replace(p.Config) {
 		d.onConfigChange(d.config.get(), in.From)
--- a/process/crashes.go
+++ b/process/crashes.go
@@ -36,7 +36,7 @@
 		},
 		SendNeighbours: func(p conn.Payload) {
 			for _, name := range d.Hub.Mesh.NeighbourNames() {
-				d.Hub.Give(name, p)
+				d.Hub.SendTo(name, p)
 			}
 		},
 	}
