--- a/conn/hub.go
+++ b/conn/hub.go
@@ -191,8 +191,8 @@
 	return ok && now.Sub(since) > 2*h.Mesh.timing.Beat
 }
 
-// Greet dials a member known only by its address, to join the overlay at startup.
-func (h *Hub) Greet(now time.Time, address string) {
+// Join dials a member known only by its address, to join the overlay at startup.
+func (h *Hub) Join(now time.Time, address string) {
 	if address != h.self.Address {
 		h.dial(now, Member{Name: "@" + address, Address: address})
 	}
--- a/conn/link_test.go
+++ b/conn/link_test.go
@@ -58,7 +58,7 @@
 		go server.Serve(l)
 		for i := range restarts {
 			b := newQuietHub(n, conn.Member{Name: "b", Start: int64(i) + 1, Address: "127.0.0.1:2"})
-			b.Greet(time.Now(), stays.Address)
+			b.Join(time.Now(), stays.Address)
 			synctest.Wait()
 			require.Equal(t, []string{"a"}, b.Mesh.NeighbourNames(), "restart %d", i)
 			require.Equal(t, []string{"b"}, a.Mesh.NeighbourNames(), "restart %d", i)
--- a/entry/members.go
+++ b/entry/members.go
@@ -50,7 +50,7 @@
 // connectSeeds opens links to the daemons that the settings name.
 func (d *Daemon) connectSeeds() {
 	for _, a := range d.Site().Seeds {
-		d.Hub.Greet(time.Now(), a)
+		d.Hub.Join(time.Now(), a)
 	}
 }
 
--- a/process/config.go
+++ b/process/config.go
@@ -200,7 +200,7 @@
 	}
 	if d.Hub.Mesh.Neighbours() == 0 {
 		for _, a := range d.Settings.Peers.Seeds {
-			d.Hub.Greet(now, a)
+			d.Hub.Join(now, a)
 		}
 		return seedPeriod
 	}
