--- a/conn/forward.go
+++ b/conn/forward.go
@@ -17,8 +17,8 @@
 	"github.com/pkg/errors"
 )
 
-// Passed is a caller's request, forwarded to an endpoint without being parsed.
-type Passed struct {
+// ForwardRequest is a caller's request, forwarded to an endpoint without being parsed.
+type ForwardRequest struct {
 	Address string // host:port of the endpoint
 	Method  string
 	Target  string // path and query, byte for byte as the caller sent them
@@ -38,7 +38,7 @@
 
 // Forward sends a request to an endpoint and returns the response with its body unread. The
 // error is a Failure, which records whether the request may have reached the endpoint.
-func (c *Client) Forward(ctx context.Context, p Passed) (*http.Response, error) {
+func (c *Client) Forward(ctx context.Context, p ForwardRequest) (*http.Response, error) {
 	var sent atomic.Bool
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) {
 		sent.Store(true)
--- a/request/relay.go
+++ b/request/relay.go
@@ -131,7 +131,7 @@
 	old := r.startListTimer(c, cancel)
 	defer old.Stop()
 	mark := r.recordPrompt(c)
-	resp, err := r.Client.Forward(ctx, conn.Passed{
+	resp, err := r.Client.Forward(ctx, conn.ForwardRequest{
 		Address: c.Target.Address, Method: r.req.Method, Target: r.req.Path, Host: x.Host,
 		Header: x.Codec.Head(Attempt{Endpoint: c.Target.ID, Left: left, Resume: x.headWritten, After: x.lastEvent}),
 		Body:   r.req.Body, Fresh: r.req.Unrepeatable, Connected: func() { old.Stop() },
