--- a/conn/forward.go
+++ b/conn/forward.go
@@ -119,7 +119,7 @@
 		blank := bytes.Equal(line, eventEnd) || bytes.Equal(line, crlf)
 		if v, ok := bytes.CutPrefix(line, idField); ok {
 			if ev.ID, err = strconv.ParseInt(string(bytes.TrimSpace(v)), 10, 64); err != nil {
-				return Event{}, errors.Wrap(ErrGarbled, "event id")
+				return Event{}, errors.Wrap(ErrMalformed, "event id")
 			}
 		}
 		if blank && len(e.buf) > len(line) {
@@ -136,7 +136,7 @@
 		part, err := e.r.ReadSlice('\n')
 		e.buf = append(e.buf, part...)
 		if len(e.buf) > maxEvent {
-			return nil, errors.Wrap(ErrGarbled, "event too long")
+			return nil, errors.Wrap(ErrMalformed, "event too long")
 		}
 		if err == nil {
 			return e.buf[from:], nil
--- a/conn/stream.go
+++ b/conn/stream.go
@@ -16,8 +16,8 @@
 // maxEvent is the maximum size of a server-sent event in bytes.
 const maxEvent = 1 << 20
 
-// ErrGarbled reports an event that violates the protocol.
-var ErrGarbled = errors.New("conn: garbled event")
+// ErrMalformed reports an event that violates the protocol.
+var ErrMalformed = errors.New("conn: garbled event")
 
 // Usage holds the token counts of a completion.
 type Usage struct {
@@ -122,7 +122,7 @@
 		part, err := s.r.ReadSlice('\n')
 		s.line = append(s.line, part...)
 		if len(s.line) > maxEvent {
-			return nil, errors.Wrap(ErrGarbled, "event too long")
+			return nil, errors.Wrap(ErrMalformed, "event too long")
 		}
 		if err == nil {
 			break
@@ -144,10 +144,10 @@
 func decodeChunk(data []byte) (Chunk, error) {
 	var w wireChunk
 	if err := json.Unmarshal(data, &w); err != nil {
-		return Chunk{}, errors.Wrap(ErrGarbled, err.Error())
+		return Chunk{}, errors.Wrap(ErrMalformed, err.Error())
 	}
 	if w.Error != nil {
-		return Chunk{}, errors.Wrap(ErrGarbled, "the engine reports an error within its answer")
+		return Chunk{}, errors.Wrap(ErrMalformed, "the engine reports an error within its answer")
 	}
 	c := Chunk{ID: w.ID, Prompt: w.PromptTokenIDs, Usage: w.Usage}
 	if len(w.Choices) == 0 {
@@ -155,7 +155,7 @@
 	}
 	ch := w.Choices[0]
 	if len(w.Choices) > 1 || ch.Index != 0 {
-		return Chunk{}, errors.Wrap(ErrGarbled, "more than one choice")
+		return Chunk{}, errors.Wrap(ErrMalformed, "more than one choice")
 	}
 	c.Text, c.Tokens, c.Finish = ch.Text+ch.Delta.Content, ch.TokenIDs, ch.FinishReason
 	if len(ch.PromptTokenIDs) > 0 {
--- a/conn/stream_test.go
+++ b/conn/stream_test.go
@@ -42,7 +42,7 @@
 		`data: {"error":{"message":"x"}}` + "\n", "data: " + strings.Repeat("x", 2<<20) + "\n",
 	} {
 		_, err = chunks(bad)
-		assert.ErrorIs(t, err, conn.ErrGarbled, "%.40q", bad)
+		assert.ErrorIs(t, err, conn.ErrMalformed, "%.40q", bad)
 	}
 }
 
@@ -54,7 +54,7 @@
 		if err == nil && !got[len(got)-1].Done {
 			t.Fatal("ended without an end marker")
 		}
-		if err != nil && !errors.Is(err, io.ErrUnexpectedEOF) && !errors.Is(err, conn.ErrGarbled) {
+		if err != nil && !errors.Is(err, io.ErrUnexpectedEOF) && !errors.Is(err, conn.ErrMalformed) {
 			t.Fatal(err)
 		}
 	})
