--- a/entry/ingress.go
+++ b/entry/ingress.go
@@ -289,7 +289,7 @@
 	}
 	s.d.log.WithFields(fields).Infof("answered with an error: %s", err.Message)
 	s.d.meters.refused(err.Code)
-	platform.Refuse(w.Header(), o.call.ID, err.RetryAfter)
+	platform.SetRefusalHeaders(w.Header(), o.call.ID, err.RetryAfter)
 	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
 	w.WriteHeader(status)
 	fmt.Fprintln(w, err.Error())
