--- a/entry/codec.go
+++ b/entry/codec.go
@@ -25,7 +25,7 @@
 	if a.Resume {
 		s.After = strconv.FormatInt(a.After, 10)
 	}
-	s.Mark(h)
+	s.SetHeaders(h)
 	return h
 }
 
