--- a/entry/codec.go
+++ b/entry/codec.go
@@ -34,7 +34,7 @@
 	c.unknown.logNew(status, h)
 	a := platform.ReadHead(status, h)
 	return request.AnswerHead{
-		ID: a.ID, NotRun: a.NotRun, Signed: a.Signed, Own: a.Own, Said: a.Said,
+		ID: a.ID, NotRun: a.NotRun, Signed: a.Signed, Own: a.FromIntended, Said: a.Said,
 		Load: a.Load.Running + a.Load.Waiting, Slots: a.Load.Slots, HasLoad: a.HasLoad,
 	}
 }
