--- a/version/config.go
+++ b/version/config.go
@@ -60,9 +60,9 @@
 	return n
 }
 
-// Taken returns the maximum number of boxes that the services may use of the shared
+// ReservedBoxes returns the maximum number of boxes that the services may use of the shared
 // pool, without the service with key except.
-func (c *Config) Taken(except string) int {
+func (c *Config) ReservedBoxes(except string) int {
 	n := 0
 	for k, r := range c.Rows {
 		if k != except {
--- a/version/log_test.go
+++ b/version/log_test.go
@@ -106,7 +106,7 @@
 		}
 		seen[e.Plan] = true
 	}
-	if taken := c.Taken(""); taken > pool {
+	if taken := c.ReservedBoxes(""); taken > pool {
 		t.Fatalf("%d boxes taken of %d", taken, pool)
 	}
 	for _, v := range m.configs {
--- a/version/plan.go
+++ b/version/plan.go
@@ -103,7 +103,7 @@
 	p := Plan{
 		ID: uuid.NewString(), Partner: s.Partner, Author: author, Service: s, Withdraw: withdraw, Version: c.Version,
 		Bases: []Base{{Key: key, Rev: old.Rev}}, Expires: now.Add(PlanLife), Attainment: 1,
-		PoolLeft: m.Pool - c.Taken(key), Changes: describeChanges(old, exists, s, withdraw),
+		PoolLeft: m.Pool - c.ReservedBoxes(key), Changes: describeChanges(old, exists, s, withdraw),
 	}
 	if withdraw {
 		return p, nil
@@ -213,7 +213,7 @@
 	if err := checkRoutes(c, p.Service); err != nil {
 		return code.New(code.Conflict, "%v", err)
 	}
-	if left := pool - c.Taken(p.Service.Key()); p.Service.MaxBoxes > left {
+	if left := pool - c.ReservedBoxes(p.Service.Key()); p.Service.MaxBoxes > left {
 		return code.New(code.PoolExceeded, "%d boxes asked for, %d left in the pool", p.Service.MaxBoxes, left)
 	}
 	return nil
