--- a/cmd/streambend/explain.go
+++ b/cmd/streambend/explain.go
@@ -31,7 +31,7 @@
 	}
 	log.Sort()
 	if len(log.Lines) == 0 {
-		return usageError{code.New(code.BadCommand, "no line of a daemon among %d; the last: %v", log.Unread, log.Example)}
+		return usageError{code.New(code.BadCommand, "no line of a daemon among %d; the last: %v", log.Unparsed, log.Example)}
 	}
 	c.warn(log)
 	if c.Rollout != "" {
@@ -60,8 +60,8 @@
 
 // warn reports unparsed and dropped log lines on standard error.
 func (c *explainCommand) warn(log explain.Log) {
-	if log.Unread > 0 {
-		fmt.Fprintf(os.Stderr, "%d lines are no daemon's, the last: %v\n", log.Unread, log.Example)
+	if log.Unparsed > 0 {
+		fmt.Fprintf(os.Stderr, "%d lines are no daemon's, the last: %v\n", log.Unparsed, log.Example)
 	}
 	if log.Lost > 0 {
 		fmt.Fprintf(os.Stderr, "%d lines were left out by the daemons, which bound what they write\n", log.Lost)
--- a/explain/explain_test.go
+++ b/explain/explain_test.go
@@ -58,7 +58,7 @@
 func TestCountsLostAndUnreadLines(t *testing.T) {
 	l := logs(t)
 	assert.Equal(t, 12, l.Lost)
-	assert.Equal(t, 1, l.Unread)
+	assert.Equal(t, 1, l.Unparsed)
 	assert.Error(t, l.Example)
 	assert.Error(t, new(explain.Log).Read("long", strings.NewReader(strings.Repeat("x", 2<<20))), "line over the length limit")
 }
@@ -95,5 +95,5 @@
 		"16:00:05.300  box-a: order 30, version v2: the operator reads that it is rolled back: digest: 9 of 14 bad",
 	}, l.Rollout("desk"))
 	assert.Empty(t, l.Rollout("portal"))
-	assert.Zero(t, l.Unread)
+	assert.Zero(t, l.Unparsed)
 }
