--- a/cmd/streambend/explain.go
+++ b/cmd/streambend/explain.go
@@ -63,8 +63,8 @@
 	if log.Unparsed > 0 {
 		fmt.Fprintf(os.Stderr, "%d lines are no daemon's, the last: %v\n", log.Unparsed, log.Example)
 	}
-	if log.Lost > 0 {
-		fmt.Fprintf(os.Stderr, "%d lines were left out by the daemons, which bound what they write\n", log.Lost)
+	if log.Dropped > 0 {
+		fmt.Fprintf(os.Stderr, "%d lines were left out by the daemons, which bound what they write\n", log.Dropped)
 	}
 }
 
--- a/explain/explain_test.go
+++ b/explain/explain_test.go
@@ -57,7 +57,7 @@
 
 func TestCountsLostAndUnreadLines(t *testing.T) {
 	l := logs(t)
-	assert.Equal(t, 12, l.Lost)
+	assert.Equal(t, 12, l.Dropped)
 	assert.Equal(t, 1, l.Unparsed)
 	assert.Error(t, l.Example)
 	assert.Error(t, new(explain.Log).Read("long", strings.NewReader(strings.Repeat("x", 2<<20))), "line over the length limit")
--- a/explain/line.go
+++ b/explain/line.go
@@ -117,7 +117,7 @@
 type Log struct {
 	Lines    []Line
 	Unparsed int   // lines that could not be parsed
-	Lost     int   // lines that daemons report as dropped
+	Dropped  int   // lines that daemons report as dropped
 	Example  error // parse error of the last such line
 }
 
@@ -152,7 +152,7 @@
 		l.Example = err
 		return
 	}
-	l.Lost += line.Dropped
+	l.Dropped += line.Dropped
 	l.Lines = append(l.Lines, line)
 }
 
