--- a/cmd/streambend/explain.go
+++ b/cmd/streambend/explain.go
@@ -31,7 +31,7 @@
 	}
 	log.Sort()
 	if len(log.Lines) == 0 {
-		return usageError{code.New(code.BadCommand, "no line of a daemon among %d; the last: %v", log.Unparsed, log.Example)}
+		return usageError{code.New(code.BadCommand, "no line of a daemon among %d; the last: %v", log.Unparsed, log.ParseError)}
 	}
 	c.warn(log)
 	if c.Rollout != "" {
@@ -61,7 +61,7 @@
 // warn reports unparsed and dropped log lines on standard error.
 func (c *explainCommand) warn(log explain.Log) {
 	if log.Unparsed > 0 {
-		fmt.Fprintf(os.Stderr, "%d lines are no daemon's, the last: %v\n", log.Unparsed, log.Example)
+		fmt.Fprintf(os.Stderr, "%d lines are no daemon's, the last: %v\n", log.Unparsed, log.ParseError)
 	}
 	if log.Dropped > 0 {
 		fmt.Fprintf(os.Stderr, "%d lines were left out by the daemons, which bound what they write\n", log.Dropped)
--- a/explain/explain_test.go
+++ b/explain/explain_test.go
@@ -59,7 +59,7 @@
 	l := logs(t)
 	assert.Equal(t, 12, l.Dropped)
 	assert.Equal(t, 1, l.Unparsed)
-	assert.Error(t, l.Example)
+	assert.Error(t, l.ParseError)
 	assert.Error(t, new(explain.Log).Read("long", strings.NewReader(strings.Repeat("x", 2<<20))), "line over the length limit")
 }
 
--- a/explain/line.go
+++ b/explain/line.go
@@ -115,10 +115,10 @@
 
 // Log holds the log lines of any number of boxes; Sort puts them in order of time.
 type Log struct {
-	Lines    []Line
-	Unparsed int   // lines that could not be parsed
-	Dropped  int   // lines that daemons report as dropped
-	Example  error // parse error of the last such line
+	Lines      []Line
+	Unparsed   int   // lines that could not be parsed
+	Dropped    int   // lines that daemons report as dropped
+	ParseError error // parse error of the last such line
 }
 
 // Read parses the lines of one box. Words before a line's JSON are stripped and the last
@@ -149,7 +149,7 @@
 	}
 	if err != nil {
 		l.Unparsed++
-		l.Example = err
+		l.ParseError = err
 		return
 	}
 	l.Dropped += line.Dropped
