--- a/cmd/streambend/explain.go
+++ b/cmd/streambend/explain.go
@@ -40,7 +40,7 @@
 	if c.Request == "" {
 		return explain.Print(os.Stdout, log.Sum())
 	}
-	story := log.Story(c.Request)
+	story := log.DescribeRequest(c.Request)
 	if len(story) == 0 {
 		return code.New(code.NoSuchRequest, "no line of %d names the request %q", len(log.Lines), c.Request)
 	}
--- a/explain/describe.go
+++ b/explain/describe.go
@@ -10,9 +10,9 @@
 	"streambend.example/code"
 )
 
-// Story returns the decisions on one request, one sentence per log line, or nothing if no
+// DescribeRequest returns the decisions on one request, one sentence per log line, or nothing if no
 // line names the request.
-func (l *Log) Story(request string) []string {
+func (l *Log) DescribeRequest(request string) []string {
 	var out []string
 	var began time.Duration
 	for _, x := range l.Lines {
--- a/explain/explain_test.go
+++ b/explain/explain_test.go
@@ -49,10 +49,10 @@
 		"16:00:01.160  +60ms     box-a: attempt 2 is sent to i-2 in west (two choices), with load 1 there as of 40ms ago; 840ms left",
 		"16:00:01.200  +100ms    box-a: not served: connection reset (1202 not-whole; run: unknown)",
 		"16:00:01.201  +101ms    box-a: the caller is told 502 (1202 not-whole): connection reset; by configuration 7, known to be the newest 90ms ago",
-	}, l.Story("r1"))
-	assert.Contains(t, l.Story("r3")[1], "box-b: the caller is told 429 (1109 team-share): over its limit; it may come back after 400ms")
-	assert.Contains(t, l.Story("r2")[1], "answered whole; first event after 30ms, 20ms expected")
-	assert.Empty(t, l.Story("r4"))
+	}, l.DescribeRequest("r1"))
+	assert.Contains(t, l.DescribeRequest("r3")[1], "box-b: the caller is told 429 (1109 team-share): over its limit; it may come back after 400ms")
+	assert.Contains(t, l.DescribeRequest("r2")[1], "answered whole; first event after 30ms, 20ms expected")
+	assert.Empty(t, l.DescribeRequest("r4"))
 }
 
 func TestCountsLostAndUnreadLines(t *testing.T) {
