--- a/cmd/streambend/explain.go
+++ b/cmd/streambend/explain.go
@@ -50,7 +50,7 @@
 
 // rollout prints the progress of a service's roll-out orders.
 func (c *explainCommand) rollout(log explain.Log) error {
-	story := log.Rollout(c.Rollout)
+	story := log.DescribeRollout(c.Rollout)
 	if len(story) == 0 {
 		return code.New(code.NoSuchRequest, "no line of %d tells of a roll-out of %q", len(log.Lines), c.Rollout)
 	}
--- a/explain/explain_test.go
+++ b/explain/explain_test.go
@@ -93,7 +93,7 @@
 		"16:00:00.140  box-a: order 30, version v2: watching, after 40ms",
 		"16:00:05.200  box-a: order 30, version v2: rolled back, after 5.1s: digest: 9 of 14 bad (2 boxes, the last 30ms later)",
 		"16:00:05.300  box-a: order 30, version v2: the operator reads that it is rolled back: digest: 9 of 14 bad",
-	}, l.Rollout("desk"))
-	assert.Empty(t, l.Rollout("portal"))
+	}, l.DescribeRollout("desk"))
+	assert.Empty(t, l.DescribeRollout("portal"))
 	assert.Zero(t, l.Unparsed)
 }
--- a/explain/rollout.go
+++ b/explain/rollout.go
@@ -17,10 +17,10 @@
 	boxes       map[string]bool
 }
 
-// Rollout describes the orders to move a service to a version, one sentence per step, or returns
+// DescribeRollout describes the orders to move a service to a version, one sentence per step, or returns
 // nothing if no line mentions one. A step logged by several boxes appears once, with the delay
 // until the last of them logged it.
-func (l *Log) Rollout(service string) []string {
+func (l *Log) DescribeRollout(service string) []string {
 	turns := make(map[string]*rolloutStep)
 	var order []*rolloutStep
 	for _, x := range l.Lines {
