--- a/cmd/streambend/explain.go
+++ b/cmd/streambend/explain.go
@@ -38,7 +38,7 @@
 		return c.rollout(log)
 	}
 	if c.Request == "" {
-		return explain.Print(os.Stdout, log.Sum())
+		return explain.Print(os.Stdout, log.CountOutcomes())
 	}
 	story := log.DescribeRequest(c.Request)
 	if len(story) == 0 {
--- a/explain/counts.go
+++ b/explain/counts.go
@@ -32,8 +32,8 @@
 	Delays      []time.Duration // delay of the first event beyond the expected time
 }
 
-// Sum counts requests by second and route and sorts the counts by both.
-func (l *Log) Sum() []Count {
+// CountOutcomes counts requests by second and route and sorts the counts by both.
+func (l *Log) CountOutcomes() []Count {
 	counts := make(map[Key]*Count)
 	for _, x := range l.Lines {
 		if x.Request == "" {
--- a/explain/explain_test.go
+++ b/explain/explain_test.go
@@ -64,7 +64,7 @@
 }
 
 func TestCountOutcomes(t *testing.T) {
-	counts := logs(t).Sum()
+	counts := logs(t).CountOutcomes()
 	require.Len(t, counts, 2)
 	assert.Equal(t, "digest", counts[0].Route)
 	assert.Equal(t, 1, counts[0].Retries)
