--- a/internal/trial/world.go
+++ b/internal/trial/world.go
@@ -112,7 +112,7 @@
 		net = w.opts.DaemonNet
 	}
 	p := process.Adapters(s, net)
-	p.Adjust = w.opts.disableMechanism
+	p.AdjustOptions = w.opts.disableMechanism
 	if w.opts.Hooks.Platform != nil {
 		p = w.opts.Hooks.Platform(p)
 	}
--- a/process/daemon.go
+++ b/process/daemon.go
@@ -32,9 +32,9 @@
 	Network seam.Network
 	Close   func() // closes idle connections
 
-	// Adjust modifies the request options, for trials that disable one
+	// AdjustOptions modifies the request options, for trials that disable one
 	// mechanism; may be nil.
-	Adjust func(*request.Options)
+	AdjustOptions func(*request.Options)
 }
 
 // Adapters returns the platform adapters configured in the settings.
@@ -122,8 +122,8 @@
 	claims := request.NewClaims(d.instance(), d.tables.claim)
 	opts := s.options()
 	opts.Holds = d.holdShare()
-	if p.Adjust != nil {
-		p.Adjust(&opts)
+	if p.AdjustOptions != nil {
+		p.AdjustOptions(&opts)
 	}
 	d.Server = request.NewServer(opts, client, claims, peerAsker{d}, log)
 	d.config = newConfigStore(version.Log{Table: d.tables.config, Objects: p.Objects})
