--- a/cmd/streambend/serve.go
+++ b/cmd/streambend/serve.go
@@ -54,7 +54,7 @@
 	if s.Log.JSON {
 		log.SetFormatter(&logrus.JSONFormatter{})
 	}
-	d, err := process.New(s, process.Adapters(s, seam.TCP{}), log)
+	d, err := process.New(s, process.NewPlatform(s, seam.TCP{}), log)
 	if err != nil {
 		return code.New(code.BadSettings, "%v", err)
 	}
--- a/internal/trial/world.go
+++ b/internal/trial/world.go
@@ -111,7 +111,7 @@
 	if w.opts.DaemonNet != nil {
 		net = w.opts.DaemonNet
 	}
-	p := process.Adapters(s, net)
+	p := process.NewPlatform(s, net)
 	p.AdjustOptions = w.opts.disableMechanism
 	if w.opts.Hooks.Platform != nil {
 		p = w.opts.Hooks.Platform(p)
--- a/process/daemon.go
+++ b/process/daemon.go
@@ -37,8 +37,8 @@
 	AdjustOptions func(*request.Options)
 }
 
-// Adapters returns the platform adapters configured in the settings.
-func Adapters(s Settings, n seam.Network) Platform {
+// NewPlatform returns the platform adapters configured in the settings.
+func NewPlatform(s Settings, n seam.Network) Platform {
 	client := seam.HTTPClient(n, cloudTimeout)
 	api := cloud.HTTP{Base: s.Platform.Cloud, Client: client}
 	access := s.Platform.access()
