--- a/entry/sentprompts.go
+++ b/entry/sentprompts.go
@@ -167,7 +167,7 @@
 			continue
 		}
 		for _, s := range by.Sends {
-			d.Server.Works.HearSent(now, s)
+			d.Server.Works.RecordSent(now, s)
 		}
 	}
 	if d.largeFleet() && d.isReader() {
--- a/request/backlog.go
+++ b/request/backlog.go
@@ -213,8 +213,8 @@
 // Dropped records that the engine will not process a prompt.
 func (t *Target) Dropped(now time.Time, m Mark) { t.backlog.Dropped(now, m) }
 
-// HearSent records a prompt that another daemon has sent.
-func (w *ServiceStates) HearSent(now time.Time, s SentPrompt) {
+// RecordSent records a prompt that another daemon has sent.
+func (w *ServiceStates) RecordSent(now time.Time, s SentPrompt) {
 	for _, k := range w.All() {
 		if t := k.Pool.snapshot().byHash[s.Endpoint]; t != nil {
 			m := t.backlog.Add(now, s.Fresh, s.Total, s.Parts)
--- a/request/placement_test.go
+++ b/request/placement_test.go
@@ -232,7 +232,7 @@
 	j.mark, word = c.Target.Send(now, c.Fresh, j.parts, j.guess)
 	for i, d := range p.daemons {
 		if i != j.daemon {
-			p.events.add(now.Add(time.Duration(15+p.rng.IntN(120))*time.Millisecond), func(now time.Time) { d.Works.HearSent(now, word) })
+			p.events.add(now.Add(time.Duration(15+p.rng.IntN(120))*time.Millisecond), func(now time.Time) { d.Works.RecordSent(now, word) })
 		}
 	}
 	e := p.engines[c.Target.ID]
