--- a/request/relay.go
+++ b/request/relay.go
@@ -145,7 +145,7 @@
 	if head.HasLoad {
 		now := r.Now()
 		c.Target.Report(now, head.Load, head.Slots)
-		c.Target.places.Told(now, head.Load-int(c.Target.ownLoad.Load()))
+		c.Target.places.Correct(now, head.Load-int(c.Target.ownLoad.Load()))
 	}
 	if head.Own && (head.ID == r.req.ID || head.ID == "") {
 		r.recordAdvertised(c.Target, head) // an answer to another request may carry older values
--- a/request/slotusage.go
+++ b/request/slotusage.go
@@ -50,9 +50,9 @@
 	p.ends = slices.Delete(p.ends, 0, free)
 }
 
-// Told corrects the estimate by the engine's own report of how many slots others occupy: the excess ones,
+// Correct corrects the estimate by the engine's own report of how many slots others occupy: the excess ones,
 // those with the earliest release times, are dropped.
-func (p *SlotUsage) Told(now time.Time, taken int) {
+func (p *SlotUsage) Correct(now time.Time, taken int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.release(now)
