--- a/request/life.go
+++ b/request/life.go
@@ -120,13 +120,13 @@
 
 // AttemptOutcome is the input of Classify.
 type AttemptOutcome struct {
-	Ending       Ending
-	Unrepeatable bool
-	MayHaveRun   bool // an endpoint may have started this or an earlier attempt
-	Budget       bool // the retry budget allows one more retry
-	GiveUpAt     time.Time
-	Strict       bool // no retry beyond the retry budget
-	Spent        bool // the route's limit of attempts is reached
+	Ending            Ending
+	Unrepeatable      bool
+	MayHaveRun        bool // an endpoint may have started this or an earlier attempt
+	Budget            bool // the retry budget allows one more retry
+	GiveUpAt          time.Time
+	Strict            bool // no retry beyond the retry budget
+	AttemptsExhausted bool // the route's limit of attempts is reached
 }
 
 // Classify decides the next step after an attempt. No other code decides whether
@@ -138,7 +138,7 @@
 		return Verdict{Action: Finish, Code: code.OK}
 	case EndedUnsent, EndedRefused:
 		uncharged := a.Strict && a.Ending == EndedUnsent // nothing reached an endpoint
-		if (a.Budget || uncharged) && !late && !a.Spent {
+		if (a.Budget || uncharged) && !late && !a.AttemptsExhausted {
 			return Verdict{Action: Retry, Spend: !uncharged}
 		}
 		if !a.MayHaveRun {
@@ -153,7 +153,7 @@
 		// retry budget is empty. It only backs off for longer, so that many failures
 		// at once do not multiply the load.
 		denied := a.Strict && !a.Budget
-		if !a.Unrepeatable && !late && !a.Spent && !denied {
+		if !a.Unrepeatable && !late && !a.AttemptsExhausted && !denied {
 			return Verdict{Action: Retry, Spend: true, Pause: !a.Budget}
 		}
 	case EndedError:
