--- a/request/advertised.go
+++ b/request/advertised.go
@@ -10,8 +10,8 @@
 	"streambend.example/pace"
 )
 
-// advertisedState is the state that one instance of an endpoint advertises in its answers. It outlives the endpoint's
-// registry entry, which may expire and return while the store is unavailable.
+// advertisedState is the state that one instance of an endpoint advertises in its answers. It outlives the
+// endpoint's registry entry, which may expire and return while the store is unavailable.
 type advertisedState struct {
 	requestingPermit atomic.Bool // a permit is being requested
 	nextPermit       expiry      // no permit is available before then
@@ -215,8 +215,8 @@
 }
 
 const (
-	// maxRetryDelay is the maximum retry delay given to a caller; minRetryGap is the minimum interval of retry
-	// times, so that refused callers do not return all at once.
+	// maxRetryDelay is the maximum retry delay given to a caller; minRetryGap is the minimum interval of
+	// retry times, so that refused callers do not return all at once.
 	maxRetryDelay = time.Minute
 	minRetryGap   = 2 * time.Millisecond
 )
--- a/request/backlog.go
+++ b/request/backlog.go
@@ -38,7 +38,7 @@
 	cost *PrefillCost // of the service's engines
 
 	mu            sync.Mutex
-	pending       time.Duration // pending prefill time at the time at
+	pending       time.Duration // prefill time pending at the time at
 	at            time.Time
 	added         time.Duration // prefill time added in total
 	pace          float64       // the engine's prefill time relative to the service's
@@ -228,15 +228,15 @@
 }
 
 const (
-	// recomputePartWeight is the extra weight of recomputing a shared part beyond its time: it costs money and
-	// evicts another part.
+	// recomputePartWeight is the extra weight of recomputing a shared part beyond its time: it costs money
+	// and evicts another part.
 	recomputePartWeight = 1.0
 	// maxPauseShare is the share of the longest tolerated pause that a prompt's prefill may cause in
 	// concurrent streams.
 	maxPauseShare = 0.8
-	// lateStreamCost is the cost of making one stream late, in seconds. Twice the value puts 0.85 instead of 0.82
-	// of the long prompts in time on 85 nearly full simulated engines, and changes nothing on 120, but loses
-	// 0.02 of the earnings of a day of peak load on 9 engines of 64 slots.
+	// lateStreamCost is the cost of making one stream late, in seconds. Twice the value puts 0.85 instead
+	// of 0.82 of the long prompts in time on 85 nearly full simulated engines, and changes nothing on 120,
+	// but loses 0.02 of the earnings of a day of peak load on 9 engines of 64 slots.
 	lateStreamCost = 0.15
 	// reservedShare is the share of the engines set apart for prompts whose prefill delays other streams;
 	// reservedCost is the penalty in seconds for other prompts there.
@@ -248,13 +248,14 @@
 	reservedTTL = 20 * time.Second
 )
 
-// preferredHit is the probability that the first endpoints in a prompt's rendezvous order cache its shared parts
-// although this daemon does not know it: all daemons share the order and prefer the first ones. If daemons
-// know what the others have sent, it only makes the load less even (0.44 instead of 0.49 of the worth on a
-// quiet day of nine engines).
+// preferredHit is the probability that the first endpoints in a prompt's rendezvous order cache its shared
+// parts although this daemon does not know it: all daemons share the order and prefer the first ones. If
+// daemons know what the others have sent, it only makes the load less even (0.44 instead of 0.49 of the
+// worth on a quiet day of nine engines).
 var preferredHit = [...]float64{0.7, 0.3}
 
-// tieBreakRange is the range, in seconds, of the random term that spreads prompts over equally good endpoints.
+// tieBreakRange is the range, in seconds, of the random term that spreads prompts over equally good
+// endpoints.
 const tieBreakRange = 0.004
 
 // preferredTargets are the first endpoints in the rendezvous order of a prompt's shared prefix.
@@ -283,7 +284,7 @@
 	return h
 }
 
-// place returns an endpoint's index in the homes, or -1.
+// place returns an endpoint's index in the preferred targets, or -1.
 func (h preferredTargets) place(t *Target) int {
 	for i, x := range h {
 		if x == t {
--- a/request/budget.go
+++ b/request/budget.go
@@ -81,8 +81,8 @@
 	Daemons func() int // number of daemons that share the slack
 }
 
-// usedSlackShare is the share of the slack that is used: a restarted daemon does not know what it has spent, and
-// the number of daemons is known with a delay.
+// usedSlackShare is the share of the slack that is used: a restarted daemon does not know what it has
+// spent, and the number of daemons is known with a delay.
 const usedSlackShare = 0.6
 
 // spareShare is the share of the retries for requests that are still in flight at an endpoint. The rest is
@@ -150,7 +150,7 @@
 	return true
 }
 
-// allows reports whether one more retry stays allows a share of the bound; the caller holds the lock. The
+// allows reports whether one more retry stays within a share of the bound; the caller holds the lock. The
 // oldest bucket may lie partly before the window: its retries count, its requests do not.
 func (b *WindowBudget) allows(part float64) bool {
 	firsts, repeats := 0, 0
--- a/request/endpointstate.go
+++ b/request/endpointstate.go
@@ -45,8 +45,8 @@
 	}
 }
 
-// RecordLeaving records that the endpoint itself advertises that it leaves, and reports whether that is new. It
-// overrides the registry entry of this instance.
+// RecordLeaving records that the endpoint itself advertises that it leaves, and reports whether that is
+// new. It overrides the registry entry of this instance.
 func (t *Target) RecordLeaving(now time.Time, left time.Duration) (fresh bool) {
 	t.advertised.mu.Lock()
 	fresh = !t.advertised.leaves
@@ -56,8 +56,8 @@
 	return fresh
 }
 
-// RecordBackoff records that the endpoint asked this daemon to back off for d. It reports whether to announce it
-// to other daemons, which is not needed while a back-off is already known.
+// RecordBackoff records that the endpoint asked this daemon to back off for d. It reports whether to
+// announce it to other daemons, which is not needed while a back-off is already known.
 func (t *Target) RecordBackoff(now time.Time, d time.Duration) (tell bool) {
 	tell = t.advertised.backoff.left(now) == 0 && t.advertised.othersBackoff.left(now) == 0
 	t.advertised.backoff.extend(now.Add(d))
--- a/request/limit.go
+++ b/request/limit.go
@@ -102,13 +102,13 @@
 	first      float64 // seconds to the first token without prefill
 	prefill    float64 // prompt tokens per second
 	plainCall  float64 // seconds of a plain call
-	plainCalls int     // plain calls in whole, up to minPlainCalls
+	plainCalls int     // plain calls in plainCall, up to minPlainCalls
 }
 
 const (
 	speedWeight = 0.05
-	// minPlainCalls is the number of plain calls before Pace returns their mean. Up to it whole is the plain
-	// mean, beyond it a moving average with speedWeight.
+	// minPlainCalls is the number of plain calls before Pace returns their mean. Up to it plainCall is the
+	// plain mean, beyond it a moving average with speedWeight.
 	minPlainCalls = int(1 / speedWeight)
 )
 
--- a/request/placement_test.go
+++ b/request/placement_test.go
@@ -39,8 +39,8 @@
 	worth       float64       // value of an answer in time
 }
 
-// The own parts of exponentialKinds are exponentially distributed; some of longTailKinds are so long that their
-// prefill makes concurrent streams late.
+// The own parts of exponentialKinds are exponentially distributed; some of longTailKinds are so long that
+// their prefill makes concurrent streams late.
 var (
 	exponentialKinds = []promptKind{
 		{"digest", 165, 5400, 6600, 0, 0, 1650, 32, 1200 * time.Millisecond, 0, 0},
@@ -81,8 +81,8 @@
 	read   time.Duration // the daemon's estimate of its engine's total prefill at the first event
 }
 
-// simEngine is a simulated engine: it runs up to engineSlots requests, prefills one prompt at a time, and caches
-// the shared parts.
+// simEngine is a simulated engine: it runs up to engineSlots requests, prefills one prompt at a time, and
+// caches the shared parts.
 type simEngine struct {
 	running map[*job]bool
 	free    time.Time // end of the prefill of its running requests
@@ -298,8 +298,8 @@
 	return time.Duration((float64(fresh)/64200 + pairs*0.647e-3) * float64(time.Second))
 }
 
-// markLateStreams marks the concurrent streams of a prompt as late if its prefill makes the pause between two of
-// their events too long: one chunk is processed per token of the event.
+// markLateStreams marks the concurrent streams of a prompt as late if its prefill makes the pause between
+// two of their events too long: one chunk is processed per token of the event.
 func (e *simEngine) markLateStreams(j *job, fresh, total int) {
 	pause := readTime(min(fresh, tokensPerEvent*prefillChunk), total) + tokensPerEvent*decodeStep
 	for other := range e.running {
--- a/request/pool.go
+++ b/request/pool.go
@@ -116,8 +116,8 @@
 	t.end()
 }
 
-// snapshot returns the snapshot for routing. It is built at the first use after a change, so that endpoints added
-// or removed together cost one rebuild: adding 210 takes 0.17 ms, and 7.7 ms with a rebuild for each.
+// snapshot returns the snapshot for routing. It is built at the first use after a change, so that endpoints
+// added or removed together cost one rebuild: adding 210 takes 0.17 ms, and 7.7 ms with a rebuild for each.
 func (p *Pool) snapshot() *poolList {
 	if l := p.list.Load(); l != nil {
 		return l
--- a/request/prefillcost.go
+++ b/request/prefillcost.go
@@ -141,8 +141,8 @@
 	return time.Duration(c.solved().start * float64(time.Second))
 }
 
-// MaxPause returns the longest pause that a prompt's prefill causes in concurrent streams: the time of as many
-// of the last chunks as an event has decode steps.
+// MaxPause returns the longest pause that a prompt's prefill causes in concurrent streams: the time of as
+// many of the last chunks as an event has decode steps.
 func (c *PrefillCost) MaxPause(fresh, total int) time.Duration {
 	return c.Time(min(fresh, int(c.eventTokens()*chunkTokens)), total)
 }
--- a/request/queue.go
+++ b/request/queue.go
@@ -55,9 +55,9 @@
 	expectMargin = 1.2
 	// deferrableShare is the share of the limit that deferrable work may always use.
 	deferrableShare = 0.2
-	// interactiveExcess and interactiveExcessMin are by how much interactive work may exceed the limit, as a share of it
-	// and at least. The engines honour priorities, and their queue, shared by all daemons, has a free slot
-	// sooner than the few slots of one daemon.
+	// interactiveExcess and interactiveExcessMin are by how much interactive work may exceed the limit, as
+	// a share of it and at least. The engines honour priorities, and their queue, shared by all daemons,
+	// has a free slot sooner than the few slots of one daemon.
 	interactiveExcess    = 0.5
 	interactiveExcessMin = 2
 	// interactiveMeanTime is the time constant of the average of interactive requests.
--- a/request/route_test.go
+++ b/request/route_test.go
@@ -159,8 +159,8 @@
 
 // Guards against sending all non-repeatable requests to one of several equally loaded endpoints. It
 // happened when ties were broken by name: each of 16 daemons had at most one request in flight and saw no
-// load anywhere, so that all 2,741 answers came from the first of four endpoints, and one endpoint alone
-// decided a canary evaluation.
+// load anywhere, so that all 2,741 answers of the old version came from the first of four endpoints, and
+// one endpoint alone decided a canary evaluation.
 func TestNonReclaimableChoiceIsSpread(t *testing.T) {
 	const endpoints, requests = 4, 400
 	p := request.NewPool("office/portal", "silom", 16)
--- a/request/servicestate.go
+++ b/request/servicestate.go
@@ -107,7 +107,7 @@
 	}
 }
 
-// ServiceStates holds the Work of each service.
+// ServiceStates holds the ServiceState of each service.
 type ServiceStates struct {
 	opts Options
 	mu   sync.RWMutex
@@ -118,7 +118,7 @@
 	return &ServiceStates{opts: o, byID: make(map[string]*ServiceState)}
 }
 
-// Get returns the Work of a service and creates it at the first use.
+// Get returns the ServiceState of a service and creates it at the first use.
 func (w *ServiceStates) Get(s *version.Service) *ServiceState {
 	key := s.Key()
 	w.mu.RLock()
@@ -143,7 +143,7 @@
 	return k
 }
 
-// All returns every Work.
+// All returns the state of every service.
 func (w *ServiceStates) All() []*ServiceState {
 	w.mu.RLock()
 	defer w.mu.RUnlock()
@@ -190,7 +190,7 @@
 	}
 }
 
-// Find returns the Work and the endpoint of a box, or nil.
+// Find returns the ServiceState and the endpoint of a box, or nil.
 func (w *ServiceStates) Find(box string) (*ServiceState, *Target) {
 	for _, k := range w.All() {
 		if t := k.Pool.Get(box); t != nil {
--- a/request/target.go
+++ b/request/target.go
@@ -94,8 +94,8 @@
 }
 
 // A load report from the endpoint is valid for loadReportTTL. A class from another daemon is valid for
-// announcementTTL, as daemons only announce changes. Older values decay towards the load assumed of an unknown
-// endpoint, never towards idle.
+// announcementTTL, as daemons only announce changes. Older values decay towards the load assumed of an
+// unknown endpoint, never towards idle.
 const (
 	loadReportTTL   = 5 * time.Second
 	announcementTTL = 5 * time.Minute
@@ -327,8 +327,8 @@
 // Answered reports whether the endpoint has ever completed a request of this daemon.
 func (t *Target) Answered() bool { return t.hasCompleted.Load() }
 
-// An endpoint is slow if the average over at least slowMinAnswers answers exceeds slowFactor the service's usual
-// time per token. A full batch is about twice as slow as an empty one.
+// An endpoint is slow if the average over at least slowMinAnswers answers exceeds slowFactor the service's
+// usual time per token. A full batch is about twice as slow as an empty one.
 const (
 	slowMinAnswers = 4
 	slowFactor     = 4
