--- a/request/permit.go
+++ b/request/permit.go
@@ -66,26 +66,26 @@
 
 // recordAdvertised records the state that the endpoint advertises about itself in an answer.
 func (r *run) recordAdvertised(t *Target, h AnswerHead) {
-	now, said := r.Now(), h.Said.Validated()
-	r.logInvalid(t, said.Bad)
-	told := logrus.Fields{}
+	now, advertised := r.Now(), h.Said.Validated()
+	r.logInvalid(t, advertised.Bad)
+	fields := logrus.Fields{}
 	// An answer without an ID may come from a proxy in front of the endpoint, so that a missing limit means
 	// nothing.
-	if said.Limited || !said.Malformed && h.ID != "" {
-		if l, tell := t.RecordLimit(said.PerSecond); tell {
-			told["per_second"], told["turn"] = l.PerSecond, l.Revision
+	if advertised.Limited || !advertised.Malformed && h.ID != "" {
+		if l, announce := t.RecordLimit(advertised.PerSecond); announce {
+			fields["per_second"], fields["turn"] = l.PerSecond, l.Revision
 		}
 	}
-	if said.Leaving && t.RecordLeaving(now, r.opts.Drain) {
-		told["leaves"], told["left_ms"] = true, r.opts.Drain.Milliseconds()
+	if advertised.Leaving && t.RecordLeaving(now, r.opts.Drain) {
+		fields["leaves"], fields["left_ms"] = true, r.opts.Drain.Milliseconds()
 	}
-	if said.Backoff > 0 && t.RecordBackoff(now, said.Backoff) {
-		told["rest_ms"] = said.Backoff.Milliseconds()
+	if advertised.Backoff > 0 && t.RecordBackoff(now, advertised.Backoff) {
+		fields["rest_ms"] = advertised.Backoff.Milliseconds()
 	}
-	if len(told) == 0 {
+	if len(fields) == 0 {
 		return
 	}
-	r.log.WithFields(told).WithFields(logrus.Fields{"endpoint": t.ID, "request": r.req.ID}).
+	r.log.WithFields(fields).WithFields(logrus.Fields{"endpoint": t.ID, "request": r.req.ID}).
 		Info("endpoint advertised new state")
 	if r.opts.OnAdvertised != nil {
 		r.opts.OnAdvertised(t.State(now))
