--- a/entry/usage.go
+++ b/entry/usage.go
@@ -70,7 +70,7 @@
 		if err := u.d.cloud.ReportUsage(ctx, f, body); err != nil {
 			return err
 		}
-		u.d.log.WithFields(logrus.Fields{"part": "usage", "window": window, "fence": f.Token, "report": string(body)}).Info("usage reported")
+		u.d.log.WithFields(logrus.Fields{"part": "usage", "window": window, "fence": f.Token, "report": string(body)}).Info("reported")
 		return nil
 	})
 }
