--- a/entry/feeder.go
+++ b/entry/feeder.go
@@ -61,7 +61,7 @@
 		}
 		if errors.Is(err, platform.ErrHistoryGone) {
 			whole = true
-			f.d.log.WithFields(logrus.Fields{"part": f.name, "version": at}).Info("store has no changes since this version, reading the whole table")
+			f.d.log.WithFields(logrus.Fields{"part": f.name, "version": at}).Info("store no longer has the changes since this version, reading the whole table")
 			continue
 		}
 		if up && ctx.Err() == nil {
