--- a/capacity/plan.go
+++ b/capacity/plan.go
@@ -40,16 +40,16 @@
 // State is the known state of a service's endpoints.
 type State struct {
 	Limits
-	Found           map[string]int // endpoints by zone that existed at the start
-	Live            map[Kind]int   // endpoints that accept requests
-	Serving         map[Kind]int   // those of them that have answered a request
-	Starting        map[Kind]int   // endpoints that are ordered and still starting
-	Enough          int            // endpoints needed for the load; negative while unknown
-	SpotUnavailable bool           // an order of reclaimable endpoints was refused recently
-	Idle            bool           // the system has just started, and the service has no load yet
-	Early           bool           // the endpoints that existed at the start are not counted yet
-	NoPrice         bool           // order twice the needed reclaimable endpoints at any price, for comparison
-	NoHold          bool           // count starting endpoints as serving, for comparison
+	Found                  map[string]int // endpoints by zone that existed at the start
+	Live                   map[Kind]int   // endpoints that accept requests
+	Serving                map[Kind]int   // those of them that have answered a request
+	Starting               map[Kind]int   // endpoints that are ordered and still starting
+	Enough                 int            // endpoints needed for the load; negative while unknown
+	ReclaimableUnavailable bool           // orders of reclaimable endpoints are in backoff in some zone after a refusal
+	Idle                   bool           // the system has just started, and the service has no load yet
+	Early                  bool           // the endpoints that existed at the start are not counted yet
+	NoPrice                bool           // order twice the needed reclaimable endpoints at any price, for comparison
+	NoHold                 bool           // count starting endpoints as serving, for comparison
 }
 
 // Order is a number of endpoints of a kind.
@@ -137,7 +137,7 @@
 		sum += n
 		largestZone = max(largestZone, n)
 	}
-	if s.SpotUnavailable {
+	if s.ReclaimableUnavailable {
 		sum -= largestZone
 	}
 	return sum
--- a/capacity/plan_test.go
+++ b/capacity/plan_test.go
@@ -71,7 +71,7 @@
 	s := capacity.State{Limits: limits(), Enough: 6, Live: have, Serving: have}
 	_, _, firms := counts(capacity.Plan(s))
 	assert.Zero(t, firms, "seven are enough")
-	s.SpotUnavailable = true
+	s.ReclaimableUnavailable = true
 	_, _, firms = counts(capacity.Plan(s))
 	assert.GreaterOrEqual(t, firms, 2, "four would be left without the largest zone")
 }
@@ -107,7 +107,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		s := capacity.State{
 			Limits: limits(), Found: make(map[string]int), Live: make(map[capacity.Kind]int), Serving: make(map[capacity.Kind]int),
-			Enough: rapid.IntRange(-1, 60).Draw(t, "enough"), SpotUnavailable: rapid.Bool().Draw(t, "dry"),
+			Enough: rapid.IntRange(-1, 60).Draw(t, "enough"), ReclaimableUnavailable: rapid.Bool().Draw(t, "dry"),
 		}
 		for _, z := range []string{"a", "b", "c", "d"} {
 			s.Found[z] = rapid.IntRange(0, 6).Draw(t, "found")
--- a/entry/scale.go
+++ b/entry/scale.go
@@ -195,7 +195,7 @@
 	state := capacity.State{
 		Limits: capacity.Limits(*b.Scaling), Found: s.initial,
 		Live: live, Serving: serving, Starting: coming, Enough: -1,
-		SpotUnavailable: s.refused(true), Idle: !w.Seen && x.d.Site().First, Early: x.startsEarly(b.Name),
+		ReclaimableUnavailable: s.refused(true), Idle: !w.Seen && x.d.Site().First, Early: x.startsEarly(b.Name),
 		NoPrice: !on(mechanism.SpareByPrice), NoHold: !on(mechanism.MakeBeforeBreak),
 	}
 	load := x.load(b, w)
@@ -210,7 +210,7 @@
 		s.lastPlan = text
 		x.d.log.WithFields(logrus.Fields{
 			"part": "scale", "service": b.Name, "enough": state.Enough, "busy": load.Busy, "places": load.SlotLoad, "read_ms": load.Read.Milliseconds(), "spread": load.ReadSCV,
-			"live": sum(state.Live), "serving": sum(state.Serving), "coming": sum(coming), "dry": state.SpotUnavailable, "plan": text,
+			"live": sum(state.Live), "serving": sum(state.Serving), "coming": sum(coming), "dry": state.ReclaimableUnavailable, "plan": text,
 		}).Info("planned")
 	}
 	return plan
