--- a/crash/ledger.go
+++ b/crash/ledger.go
@@ -193,7 +193,7 @@
 }
 
 // Answered records a complete answer to a request, which shows that it doesn't crash endpoints. It
-// reports whether other daemons should be told, because the request is held back or one crash short
+// reports whether to notify other daemons, because the request is held back or one crash short
 // of it.
 func (l *Ledger) Answered(now time.Time, p Fingerprint) (notify bool) {
 	l.mu.Lock()
