--- a/pace/limiter.go
+++ b/pace/limiter.go
@@ -10,11 +10,11 @@
 
 const (
 	// The bucket of an endpoint holds minBurst tokens plus those of burstWindow at its rate, since a
-	// daemon that was just told to ask again needs a moment to do so.
+	// daemon takes a moment to ask again after its Grant.Wait.
 	minBurst    = 2
 	burstWindow = 250 * time.Millisecond
-	// maxWait bounds the wait that a daemon is told, as fewer may be asking by then. waitPerAsker is
-	// the least wait per asking daemon beyond that bound, which limits the load on the owner.
+	// maxWait bounds the wait returned to a refused daemon, as fewer may be asking by then.
+	// waitPerAsker is the least wait per asking daemon beyond that bound, which limits the load on the owner.
 	maxWait      = 3 * time.Second
 	waitPerAsker = 25 * time.Millisecond
 	// askerTTL is how long after its last request a daemon counts as asking.
