--- a/request/server.go
+++ b/request/server.go
@@ -32,8 +32,7 @@
 type Peers interface {
 	// AskClaim asks the holder of a claim for its state.
 	AskClaim(ctx context.Context, holder, name string) HolderState
-	// AnyRan reports whether any daemon has sent the request of a claim. It is
-	// used while the table is unavailable.
+	// AnyRan reports whether any daemon has sent the request of a claim. It is used while the table is unavailable.
 	AnyRan(ctx context.Context, name string) bool
 	// RecentStop reports whether a daemon recently shut down as planned, so that
 	// an answer may have been handed over.
