--- a/rollout/doc.go
+++ b/rollout/doc.go
@@ -2,16 +2,17 @@
 
 // Package rollout decides how a service moves to a new version of its software.
 //
-// An operator orders a target version and a time. Until that time is over the new version gets
-// a bounded share of the service's requests, whatever is known of it; its answers are compared
-// with those that the old version gives at the same time on the same routes:
+// An operator orders a target version and a deadline. Until the deadline the new version gets a
+// bounded share of the service's requests, and its answers are compared with those of the old
+// version at the same time on the same routes:
 //
 //	bucket.Take(now, rollout.Ask{...}) // does this request go to the new version?
-//	judge.Take(now, counts)            // what the answers say so far, merged over daemons
-//	rollout.Next(now, state)           // what the holder of the duty does about it
+//	test.Take(now, counts)             // canary analysis of the answers of all daemons
+//	rollout.Next(now, state)           // the next stage, decided by the lease holder
 //
-// A Standing says which versions may run requests. What daemons tell each other of an order is a
-// Fact, which only moves on: once a version has been rolled back no older word brings it back.
+// A Standing says which versions may run requests. Daemons exchange what they know of an order as a
+// Fact. Merging facts only advances the stage: a message that arrives late cannot bring back a
+// version that was rolled back.
 //
-// The package does no input or output, and is given the present time.
+// The package does no input or output; callers pass the current time.
 package rollout
--- a/rollout/order.go
+++ b/rollout/order.go
@@ -9,25 +9,25 @@
 	"github.com/looplab/fsm"
 )
 
-// Order asks that a service's requests move to the endpoints of a version.
+// Order is an operator's request to move a service to the endpoints of a version.
 type Order struct {
 	Service string        `codec:"s"`
-	Target  string        `codec:"v"` // version of the software
-	For     time.Duration `codec:"f"` // from the order to its deadline
-	Number  int64         `codec:"n"` // names the order; a later one of a service has a higher number
+	Target  string        `codec:"v"` // version to move to
+	For     time.Duration `codec:"f"` // time from the order to its deadline
+	Number  int64         `codec:"n"` // identifies the order; later orders of a service have higher numbers
 }
 
-// Stage is how far an order has come. A higher one stands for good where both are heard of: what
-// is completed is so because the table says so, and the old endpoints are gone.
+// Stage is the progress of an order. Of two that are known for one order the higher one wins:
+// Completed is only set once the table says so, and the old endpoints are gone by then.
 type Stage int
 
 // The stages of an order.
 const (
-	Unknown    Stage = iota // an order, of which nothing else is known here yet
+	Unknown    Stage = iota // the order exists; its progress is not known here yet
 	Watching                // the new version gets a small share and is compared
-	Shifting                // it is trusted: it gets what the cap allows, and all after the deadline
-	RolledBack              // it gets nothing any more
-	Completed               // it is the service's version
+	Shifting                // found good: it gets what the cap allows, and all requests after the deadline
+	RolledBack              // it gets no more requests
+	Completed               // it is the version of the service
 )
 
 // String returns the stage's name.
@@ -35,10 +35,10 @@
 	return [...]string{"unknown", "watching", "shifting", "rolled back", "completed"}[s]
 }
 
-// Ended reports whether nothing follows any more.
+// Ended reports whether the stage is final.
 func (s Stage) Ended() bool { return s == RolledBack || s == Completed }
 
-// The events of a Life.
+// The events of an order's state machine.
 const (
 	eventSee      = "see"
 	eventTrust    = "trust"
@@ -46,35 +46,37 @@
 	eventComplete = "complete"
 )
 
-// lifeEvents hold the rule that matters most: there is one end, and none follows from the other.
-var lifeEvents = fsm.Events{
+// transitions are the state machine of an order. There are two final stages, and neither can follow
+// from the other.
+var transitions = fsm.Events{
 	{Name: eventSee, Src: []string{Unknown.String()}, Dst: Watching.String()},
 	{Name: eventTrust, Src: []string{Watching.String()}, Dst: Shifting.String()},
 	{Name: eventRollBack, Src: []string{Unknown.String(), Watching.String(), Shifting.String()}, Dst: RolledBack.String()},
-	// From the beginning for a version that the service has already.
+	// Also from Unknown, for a version that the service already runs.
 	{Name: eventComplete, Src: []string{Unknown.String(), Shifting.String()}, Dst: Completed.String()},
 }
 
-// eventTo names the event that leads to a stage.
+// eventTo maps each stage to the event that leads to it.
 var eventTo = map[Stage]string{
 	Watching: eventSee, Shifting: eventTrust, RolledBack: eventRollBack, Completed: eventComplete,
 }
 
 // Allowed reports whether an order may go from one stage to another.
 func Allowed(from, to Stage) bool {
-	f := fsm.NewFSM(from.String(), lifeEvents, nil)
+	f := fsm.NewFSM(from.String(), transitions, nil)
 	return f.Event(context.Background(), eventTo[to]) == nil
 }
 
-// Fact is what is known of an order: everywhere the same in the end, whoever hears what first.
+// Fact is what a daemon knows of an order. Facts converge on all daemons, in whichever order they
+// arrive.
 type Fact struct {
 	Number int64  `codec:"n"`
 	Target string `codec:"v"`
 	Stage  Stage  `codec:"t"`
-	Why    string `codec:"w,omitempty"` // of a roll-back: the route and what was seen on it
+	Why    string `codec:"w,omitempty"` // reason of a roll-back: the route and the evidence on it
 }
 
-// Merge returns what two words on a service's order say together.
+// Merge returns the newer of two facts about a service's orders.
 func (f Fact) Merge(x Fact) Fact {
 	if x.Number > f.Number || x.Number == f.Number && x.Stage > f.Stage {
 		return x
--- a/rollout/share.go
+++ b/rollout/share.go
@@ -4,72 +4,75 @@
 
 import "time"
 
-// Cap bounds what an untried version may get.
+// Cap bounds the requests that a version on trial may get.
 type Cap struct {
-	Share float64       // of the requests of its service between the order and its deadline
-	Slack float64       // requests more, over all daemons
-	Back  time.Duration // nothing later than this after its 50th bad answer
+	Share float64       // of the service's requests between the order and its deadline
+	Slack float64       // additional requests, over all daemons
+	Back  time.Duration // no requests later than this after its 50th bad answer
 }
 
 const (
-	// watchShare is the part of the cap that is spent on watching a version; the rest is kept
-	// for the last seconds before the deadline, in which long answers go to the new version
-	// so that the old endpoints are idle when they are stopped.
+	// watchShare is the part of the cap that is used to compare a version. The rest is for the last
+	// seconds before the deadline, when long requests go to the new version so that the old
+	// endpoints are idle when they are stopped.
 	watchShare = 0.6
-	// lateShare is the same once the deadline is over and no cap holds any more.
-	lateShare = 2.0
-	// deadlineSlack is how long after the deadline, as heard of here, the cap holds: the
-	// true one is at most this much later than the word of an order takes to come.
+	// overdueShare is the same after the deadline, when no cap applies any more.
+	overdueShare = 2.0
+	// deadlineSlack is how long after the deadline, as this daemon knows it, the cap applies. The
+	// true deadline is later by at most the time that the order takes to reach this daemon.
 	deadlineSlack = 500 * time.Millisecond
-	// endTimes is how much longer than expected an answer is reckoned to take: callers guess
-	// its length right at the median, and often far off.
-	endTimes = 2.0
-	// evenLead is how many requests a route may be ahead of an even part of what was given: at 0
-	// the rarest would hold up all others, and with more it would be seen last.
-	evenLead = 0.7
+	// durationMargin is the factor applied to the expected duration of an answer: callers' estimates
+	// are right at the median but often far off.
+	durationMargin = 2.0
+	// routeLead is how many requests a route may be ahead of its even part. At 0 the rarest route
+	// would hold up all others; with more it would be observed last.
+	routeLead = 0.7
 )
 
-// Ask is a request as the share looks at it.
+// Ask describes a request to a Share.
 type Ask struct {
 	Route  string
-	Expect time.Duration // until its answer is whole
+	Expect time.Duration // expected time until its answer is complete
 }
 
-// Span is the time of an order at this daemon.
+// Span is the stage and deadline of an order at this daemon.
 type Span struct {
 	Stage    Stage
-	Deadline time.Time // of the order, as heard of here
+	Deadline time.Time // of the order, as this daemon knows it
 }
 
-// Capped reports whether the cap holds.
+// Capped reports whether the cap still applies.
 func (s Span) Capped(now time.Time) bool { return now.Before(s.Deadline.Add(deadlineSlack)) }
 
-// Share decides which requests of a service go to a version on trial. All daemons together must
-// keep the cap though each knows only its own requests.
+// Share decides which requests of a service go to a version on trial. All daemons together must stay
+// within the cap, though each knows only its own requests.
 type Share interface {
-	// Take counts a request, and reports whether it goes to the version on trial.
+	// Take counts a request and reports whether it goes to the version on trial.
 	Take(now time.Time, s Span, a Ask) bool
-	// Return takes back what Take has given, as no endpoint of the version could take it.
+	// Return undoes a Take that reported true, when no endpoint of the version could take the
+	// request.
 	Return(a Ask)
-	// Unsent takes a request back that Take has counted, as it was sent nowhere: the cap is a
-	// share of what reaches the service.
+	// Unsent undoes the count of a request that was sent nowhere, as the cap is a share of the
+	// requests that are sent.
 	Unsent(a Ask)
 }
 
-// Bucket is a Share by what this daemon itself has seen: for each request the cap's share of one
-// is added, and each that goes to the version takes one. What is not spent while the new endpoints
-// start is spent later, and a daemon that has just started, or that is cut off, is within its own
-// part of the cap whatever others do. No slack is used: it covers what is on its way as an order
-// is heard of. Each route gets the same part, so that a rare one is seen as soon as the others.
+// Bucket is a Share that works like a token bucket on this daemon's requests: each request adds the
+// cap's share of a token, and each request to the new version takes one. Tokens left over while the
+// new endpoints start are used later. A daemon that has just started or is partitioned stays within
+// its own part of the cap, whatever the others do.
+//
+// Bucket doesn't use the cap's slack, which covers requests under way while the order spreads. Each
+// route gets the same part, so that a rare route is observed as soon as the others.
 type Bucket struct {
 	Cap Cap
-	// Lead is what the bucket holds at first, below 1 and another at each daemon, so that
-	// daemons which see a few requests each do not all round down.
+	// Lead is the initial credit, below 1 and different at each daemon, so that daemons with few
+	// requests don't all round down.
 	Lead float64
 
-	seen   float64 // requests
-	given  float64 // to the version
-	routes map[string]float64
+	requests float64 // requests
+	taken    float64 // requests sent to the version on trial
+	routes   map[string]float64
 }
 
 // Take implements Share.
@@ -77,55 +80,56 @@
 	if b.routes == nil {
 		b.routes = make(map[string]float64)
 	}
-	b.seen++
-	b.routes[a.Route] += 0 // it is one of the routes
-	if !b.due(now, s, a) {
+	b.requests++
+	b.routes[a.Route] += 0 // creates the entry of the route
+	if !b.admit(now, s, a) {
 		return false
 	}
-	b.given++
+	b.taken++
 	b.routes[a.Route]++
 	return true
 }
 
-// Return implements Share. What an earlier order's bucket has given is not this one's to take back.
+// Return implements Share. It ignores requests that were taken from the bucket of an earlier order.
 func (b *Bucket) Return(a Ask) {
 	if b.routes[a.Route] <= 0 {
 		return
 	}
-	b.given--
+	b.taken--
 	b.routes[a.Route]--
 }
 
 // Unsent implements Share.
-func (b *Bucket) Unsent(Ask) { b.seen-- }
+func (b *Bucket) Unsent(Ask) { b.requests-- }
 
-// due reports whether a request is to go to the version.
-func (b *Bucket) due(now time.Time, s Span, a Ask) bool {
+// admit reports whether a request goes to the version on trial.
+func (b *Bucket) admit(now time.Time, s Span, a Ask) bool {
 	switch {
 	case s.Stage == Shifting && !s.Capped(now):
 		return true
-	case s.Stage == Shifting && b.late(now, s, a):
-		return b.room(1)
+	case s.Stage == Shifting && b.endsLate(now, s, a):
+		return b.withinCap(1)
 	case s.Stage == Shifting, s.Stage == Watching && s.Capped(now):
-		return b.room(watchShare) && b.even(a)
+		return b.withinCap(watchShare) && b.hasEvenPart(a)
 	case s.Stage == Watching:
-		// No cap holds any more, but a version that is not trusted yet gets no more than
-		// it takes to learn.
-		return b.room(lateShare) && b.even(a)
+		// No cap applies any more, but a version that was not found good gets only as many requests
+		// as the analysis needs.
+		return b.withinCap(overdueShare) && b.hasEvenPart(a)
 	}
 	return false
 }
 
-// late reports whether an answer may not be whole by the time at which the old endpoints are to be
-// idle.
-func (b *Bucket) late(now time.Time, s Span, a Ask) bool {
-	return now.Add(time.Duration(endTimes * float64(a.Expect))).After(s.Deadline.Add(-endEarly - idleFor))
+// endsLate reports whether the answer may not be complete by the time at which the old endpoints
+// must be idle.
+func (b *Bucket) endsLate(now time.Time, s Span, a Ask) bool {
+	return now.Add(time.Duration(durationMargin * float64(a.Expect))).After(s.Deadline.Add(-completionLead - minIdle))
 }
 
-// room reports whether one more is within a part of the cap.
-func (b *Bucket) room(part float64) bool { return b.given+1-b.Lead <= part*b.Cap.Share*b.seen }
+// withinCap reports whether one more request is within a part of the cap.
+func (b *Bucket) withinCap(part float64) bool { return b.taken+1-b.Lead <= part*b.Cap.Share*b.requests }
 
-// even reports whether a route has had no more than its even part of what was given.
-func (b *Bucket) even(a Ask) bool {
-	return b.routes[a.Route] <= b.given/float64(len(b.routes))+evenLead
+// hasEvenPart reports whether the route has had no more than its even part of the requests, plus
+// routeLead.
+func (b *Bucket) hasEvenPart(a Ask) bool {
+	return b.routes[a.Route] <= b.taken/float64(len(b.routes))+routeLead
 }
